--- a/crates/gateway/src/coordinator/mod.rs
+++ b/crates/gateway/src/coordinator/mod.rs
@@ -226,7 +226,7 @@
             self.harmful_loads.ended(&load);
         }
         if let Some(load) = ended.load {
-            self.load_limit.loaded(load.took_ms, load.together);
+            self.load_limit.record_load(load.took_ms, load.together);
         }
         match ended.report {
             Some(report) => {
--- a/crates/gateway/src/engine/candidates.rs
+++ b/crates/gateway/src/engine/candidates.rs
@@ -80,7 +80,7 @@
             let running =
                 own.get(id).copied().unwrap_or(0) + elsewhere.get(id).copied().unwrap_or(0);
             let allowance = match admission {
-                Admission::One => Some(1),
+                Admission::Probe => Some(1),
                 Admission::All | Admission::None => None,
             };
             let cold_allowance = backends.cold_allowance(id, sender, now);
@@ -92,11 +92,11 @@
                 slots: allowance.map_or(record.slots, |more| record.slots.min(running + more)),
                 memory: TokenMemory {
                     capacity,
-                    elsewhere: tokens_elsewhere.get(id).copied().unwrap_or(0),
+                    other_nodes_tokens: tokens_elsewhere.get(id).copied().unwrap_or(0),
                     items: self.lengths.on(id),
                 },
                 event_gap_ms: gap_ms.max(SHORTEST_GAP_MS),
-                on_trial: admission == Admission::One,
+                is_half_open: admission == Admission::Probe,
                 models: models
                     .iter()
                     .map(versions)
--- a/crates/gateway/src/engine/lengths.rs
+++ b/crates/gateway/src/engine/lengths.rs
@@ -24,8 +24,8 @@
     /// Tokens still expected of an item that made so many.
     pub(super) fn remaining(&self, pool: &PoolName, item: &ItemState, made_tokens: u32) -> u32 {
         match self.by_pool.get(pool) {
-            Some(history) => history.remaining(item.expected_tokens, made_tokens),
-            None => LengthHistory::default().remaining(item.expected_tokens, made_tokens),
+            Some(history) => history.expected_remaining(item.expected_tokens, made_tokens),
+            None => LengthHistory::default().expected_remaining(item.expected_tokens, made_tokens),
         }
     }
 
@@ -37,7 +37,7 @@
     /// Tokens that this node's items are expected to hold on each back end when they end.
     pub(super) fn expected_tokens(&self) -> impl Iterator<Item = (&BackendId, u32)> {
         self.on_backends.iter().map(|(backend, items)| {
-            let at_end = items.iter().map(|item| item.at_end());
+            let at_end = items.iter().map(|item| item.tokens_at_end());
             (backend, at_end.fold(0, u32::saturating_add))
         })
     }
@@ -72,7 +72,7 @@
             return;
         };
         let history = self.lengths.by_pool.entry(pool).or_default();
-        history.finished(guessed_tokens, events.saturating_mul(tokens_per_event));
+        history.record_finished(guessed_tokens, events.saturating_mul(tokens_per_event));
     }
 
     /// The pool that runs an item, and the tokens of its events.
--- a/crates/gateway/src/engine/plan.rs
+++ b/crates/gateway/src/engine/plan.rs
@@ -126,11 +126,11 @@
             let item = WaitingItem {
                 batch: batch.id.clone(),
                 item: item.id.clone(),
-                optional: optional.contains(&item.id),
+                is_optional: optional.contains(&item.id),
                 claim: claim.clone(),
                 expected_tokens: self.lengths.remaining(pool, item, made_tokens),
                 held_tokens: prompt_tokens.saturating_add(made_tokens),
-                since: batch.first_seen,
+                batch_first_seen: batch.first_seen,
                 model: batch.model.clone(),
                 minimum_version: batch.minimum_version,
                 exact_version: made_by(live, item).filter(|_| route.single_version),
@@ -164,18 +164,18 @@
         self.lengths.count_running(&work.running);
         let mut candidates = self.candidates(table.pool(pool), pool, &oldest, usual_gap_ms, now);
         let token_ms = usual_gap_ms / f64::from(tokens_per_event(table, pool));
-        let free_places = candidates.iter().map(Candidate::free_places).sum();
+        let free_slots = candidates.iter().map(Candidate::free_slots).sum();
         let running = &work.running;
-        schedule::order_waiting(&mut work.waiting, running, free_places, now, token_ms);
+        schedule::prioritize_waiting(&mut work.waiting, running, free_slots, now, token_ms);
         let barred = self.barred_items(&work.waiting);
         work.waiting.retain(|item| !barred.contains(&key_of(item)));
-        let trials: HashMap<usize, BackendId> = schedule::trials(&work.waiting, &candidates)
+        let probes: HashMap<usize, BackendId> = schedule::assign_probes(&work.waiting, &candidates)
             .into_iter()
             .collect();
         for (at, item) in work.waiting.iter().enumerate() {
-            let on_trial = trials.get(&at);
-            let on_trial = on_trial.and_then(|id| candidates.iter().find(|c| c.backend == *id));
-            let chosen = on_trial.or_else(|| schedule::choose(item, &candidates));
+            let probed = probes.get(&at);
+            let probed = probed.and_then(|id| candidates.iter().find(|c| c.backend == *id));
+            let chosen = probed.or_else(|| schedule::choose_backend(item, &candidates));
             let Some(chosen) = chosen else {
                 self.restart_if_version_is_gone(item, pool, now);
                 continue;
@@ -183,7 +183,7 @@
             let backend = chosen.backend.clone();
             tell_if_memory_is_short(item, chosen);
             for candidate in candidates.iter_mut().filter(|c| c.backend == backend) {
-                candidate.take(item);
+                candidate.add_item(item);
             }
             self.lengths.count(&backend, item.tokens());
             self.begin(item, &backend, now);
@@ -192,7 +192,7 @@
         if are_all_taken && !candidates.is_empty() {
             self.context.backends.want_more(pool);
         }
-        for relocation in schedule::relocations(work.running, candidates) {
+        for relocation in schedule::plan_relocations(work.running, candidates) {
             self.relocate(&relocation);
         }
     }
@@ -254,7 +254,7 @@
     }
     metrics::placed_short_of_memory();
     info!(event = "item_placed_short_of_memory", request = item.item.as_str(), batch = item.batch.as_str(),
-        backend = chosen.backend.as_str(), tokens = tokens.at_end(), expected_tokens = chosen.memory.expected(),
+        backend = chosen.backend.as_str(), tokens = tokens.tokens_at_end(), expected_tokens = chosen.memory.expected_tokens(),
         memory_tokens = chosen.memory.capacity; "");
 }
 
@@ -266,7 +266,7 @@
 }
 
 fn urgency(item: &WaitingItem) -> u8 {
-    schedule::urgency(item.claim.rank, item.optional)
+    schedule::urgency(item.claim.rank, item.is_optional)
 }
 
 /// On whose behalf a batch's items run.
@@ -276,7 +276,7 @@
     Claim {
         rank: table.priority(route, tenant),
         claimant: claimant.into(),
-        longest_wait_ms: route.give_up_after_ms.unwrap_or(DEFAULT_GIVE_UP_MS),
+        max_wait_ms: route.give_up_after_ms.unwrap_or(DEFAULT_GIVE_UP_MS),
     }
 }
 
--- a/crates/gateway/src/engine/reward.rs
+++ b/crates/gateway/src/engine/reward.rs
@@ -110,7 +110,7 @@
     let executed = calls::execute(context, route, call).await;
     *failures += executed.server_errors;
     let end = end_for_pace(route, &executed.outcome, began.elapsed());
-    if end == CallEnd::TurnedAway {
+    if end == CallEnd::Rejected {
         // Its turn is over only then: else the next call would find the same full pool a millisecond later.
         tokio::time::sleep(TURNED_AWAY_PAUSE).await;
     }
@@ -156,9 +156,9 @@
 fn end_for_pace(route: &Route, outcome: &CallOutcome, took: Duration) -> CallEnd {
     let soon = calls::share_of_objective(route, SOON_SHARE);
     match outcome {
-        CallOutcome::Answered(_) if took > soon => CallEnd::TakenLate,
-        CallOutcome::Answered(_) | CallOutcome::Streaming(_) => CallEnd::Taken,
-        CallOutcome::Refused { .. } => CallEnd::TurnedAway,
+        CallOutcome::Answered(_) if took > soon => CallEnd::AcceptedLate,
+        CallOutcome::Answered(_) | CallOutcome::Streaming(_) => CallEnd::Accepted,
+        CallOutcome::Refused { .. } => CallEnd::Rejected,
         CallOutcome::Failed { .. } | CallOutcome::Barred => CallEnd::Unknown,
     }
 }
--- a/crates/gateway/src/engine/runs.rs
+++ b/crates/gateway/src/engine/runs.rs
@@ -41,7 +41,7 @@
             return;
         };
         *last_event = Some(now);
-        self.stalls.detector.heard(backend, None, now);
+        self.stalls.detector.record_event(backend, None, now);
     }
 
     fn take_event(&mut self, key: &ItemKey, event: OutputEvent) {
@@ -64,7 +64,7 @@
         let since_before = before.map(|before| now.saturating_sub(before));
         let gap_ms = since_before.filter(|_| !is_first);
         let (backend, began) = (backend.clone(), *since);
-        self.stalls.detector.heard(&backend, gap_ms, now);
+        self.stalls.detector.record_event(&backend, gap_ms, now);
         if is_first {
             self.breaker_answered(&backend, began);
         }
@@ -123,7 +123,7 @@
             }
             RunEnd::NotRun => {
                 self.breaker_answered(backend, began);
-                self.breaker(backend).turned_away(now);
+                self.breaker(backend).record_rejection(now);
             }
             RunEnd::WrongVersion(version) => {
                 self.breaker_answered(backend, began);
@@ -138,12 +138,12 @@
             // Its breaker opened when it was told to end.
             RunEnd::TooLate | RunEnd::Stalled => {}
             RunEnd::Broken if made_progress => {
-                let open_ms = self.breaker(backend).cut_short(now);
+                let open_ms = self.breaker(backend).record_cut_short(now);
                 tell_opened(backend, end.name(), open_ms);
             }
             RunEnd::Broken | RunEnd::Unreachable => {
                 if *end == RunEnd::Unreachable {
-                    self.stalls.detector.unreachable(backend, now);
+                    self.stalls.detector.record_connect_failure(backend, now);
                 }
                 self.backend_failed(backend, end.name(), began);
             }
@@ -158,7 +158,7 @@
         began: Millis,
     ) {
         let now = self.context.now();
-        let open_ms = self.breaker(backend).failed(began, now);
+        let open_ms = self.breaker(backend).record_failure(began, now);
         tell_opened(backend, cause, open_ms);
     }
 
@@ -170,7 +170,7 @@
         let Some(breaker) = self.breakers.get_mut(backend) else {
             return;
         };
-        if breaker.answered(began) {
+        if breaker.record_answer(began) {
             info!(event = "breaker_closed", backend = backend.as_str(); "");
         }
     }
--- a/crates/gateway/src/engine/stalls.rs
+++ b/crates/gateway/src/engine/stalls.rs
@@ -42,8 +42,8 @@
             };
             let watched = WatchedRun {
                 backend,
-                began: *since,
-                last_event: *last_event,
+                started_at: *since,
+                last_event_at: *last_event,
             };
             Some((key.clone(), watched))
         });
@@ -53,7 +53,7 @@
             now,
             contact_age_ms: self.context.contact_age(),
         };
-        let stalls = self.stalls.detector.look(
+        let stalls = self.stalls.detector.find_stalls(
             &watched,
             |backend| {
                 let control = control.lock();
--- a/crates/gateway/src/engine/start.rs
+++ b/crates/gateway/src/engine/start.rs
@@ -84,7 +84,7 @@
         self.breakers
             .entry(backend_id.clone())
             .or_default()
-            .started(now);
+            .record_start(now);
         // Nothing is started of a partition that was never read to its end.
         if let Some(known_age_ms) = known_age_ms {
             metrics::run_started(known_age_ms);
--- a/crates/gateway/src/reward_pace.rs
+++ b/crates/gateway/src/reward_pace.rs
@@ -54,7 +54,7 @@
         let pool = self.pool(pool);
         loop {
             let ended = pool.ended.notified();
-            if pool.lock().try_begin() {
+            if pool.lock().try_start() {
                 break;
             }
             ended.await;
@@ -89,7 +89,7 @@
 impl Drop for RewardTurn {
     fn drop(&mut self) {
         let now = self.clock.now();
-        self.pool.lock().ended(self.end, self.share, now);
+        self.pool.lock().record_end(self.end, self.share, now);
         for _ in 0..WOKEN_BY_AN_END {
             self.pool.ended.notify_one();
         }
--- a/crates/rollout/src/circuit_breaker.rs
+++ b/crates/rollout/src/circuit_breaker.rs
@@ -30,7 +30,7 @@
     /// Any.
     All,
     /// One, as a probe.
-    One,
+    Probe,
     /// None.
     None,
 }
@@ -58,7 +58,7 @@
 impl CircuitBreaker {
     /// A run that began at `began` failed without any progress. Answers for how long the breaker is open, if it
     /// opens with this.
-    pub fn failed(&mut self, began: Millis, now: Millis) -> Option<Millis> {
+    pub fn record_failure(&mut self, began: Millis, now: Millis) -> Option<Millis> {
         let says_nothing_new = |opening: &Opening| now < opening.until || began <= opening.at;
         if self.opening.as_ref().is_some_and(says_nothing_new) {
             return None;
@@ -66,8 +66,8 @@
         Some(self.open(now))
     }
 
-    /// A run was cut short after it made progress. Answers as [`failed`](Self::failed) does.
-    pub fn cut_short(&mut self, now: Millis) -> Option<Millis> {
+    /// A run was cut short after it made progress. Answers as [`record_failure`](Self::record_failure) does.
+    pub fn record_cut_short(&mut self, now: Millis) -> Option<Millis> {
         if self.cuts == 0 || now.saturating_sub(self.first_cut) > CUTS_TOGETHER_MS {
             self.cuts = 0;
             self.first_cut = now;
@@ -76,11 +76,11 @@
         if self.cuts < CUTS_TO_OPEN {
             return None;
         }
-        self.failed(now, now)
+        self.record_failure(now, now)
     }
 
     /// A run that began at `began` brought an event or a whole answer. Answers whether that closes the breaker.
-    pub fn answered(&mut self, began: Millis) -> bool {
+    pub fn record_answer(&mut self, began: Millis) -> bool {
         let closes = self.opening.is_some_and(|opening| began > opening.at);
         if closes {
             self.opening = None;
@@ -90,12 +90,12 @@
     }
 
     /// It had no place for an item.
-    pub fn turned_away(&mut self, now: Millis) {
+    pub fn record_rejection(&mut self, now: Millis) {
         self.turned_away_until = now + TURNED_AWAY_MS;
     }
 
     /// A run begins there.
-    pub fn started(&mut self, now: Millis) {
+    pub fn record_start(&mut self, now: Millis) {
         if let Some(opening) = &mut self.opening {
             opening.probe = Some(now);
         }
@@ -115,7 +115,7 @@
         if now < opening.until || awaits_probe {
             return Admission::None;
         }
-        Admission::One
+        Admission::Probe
     }
 
     fn open(&mut self, now: Millis) -> Millis {
--- a/crates/rollout/src/concurrency_limit.rs
+++ b/crates/rollout/src/concurrency_limit.rs
@@ -21,11 +21,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallEnd {
     /// A back end worked on it soon.
-    Taken,
+    Accepted,
     /// A back end worked on it, but it took so long that it must have waited there, or works slowly.
-    TakenLate,
+    AcceptedLate,
     /// Every back end that was asked had no place for it.
-    TurnedAway,
+    Rejected,
     /// It says nothing of places.
     Unknown,
 }
@@ -51,7 +51,7 @@
 
 impl ConcurrencyLimit {
     /// Begins a call if one more may be under way.
-    pub fn try_begin(&mut self) -> bool {
+    pub fn try_start(&mut self) -> bool {
         let may_begin = f64::from(self.under_way) < self.limit.floor();
         self.under_way += u32::from(may_begin);
         may_begin
@@ -59,15 +59,15 @@
 
     /// A call that was begun has ended.
     /// `share` is what the limit does not fall below for calls that waited.
-    pub fn ended(&mut self, end: CallEnd, share: u32, now: Millis) {
+    pub fn record_end(&mut self, end: CallEnd, share: u32, now: Millis) {
         self.under_way = self.under_way.saturating_sub(1);
         match end {
-            CallEnd::Taken => self.raise(),
-            CallEnd::TakenLate if self.limit > f64::from(share) => {
+            CallEnd::Accepted => self.raise(),
+            CallEnd::AcceptedLate if self.limit > f64::from(share) => {
                 self.lower(f64::from(share), now);
             }
-            CallEnd::TakenLate => self.raise(),
-            CallEnd::TurnedAway => self.lower(1.0, now),
+            CallEnd::AcceptedLate => self.raise(),
+            CallEnd::Rejected => self.lower(1.0, now),
             CallEnd::Unknown => {}
         }
     }
--- a/crates/rollout/src/expected_length.rs
+++ b/crates/rollout/src/expected_length.rs
@@ -27,7 +27,7 @@
 
 impl LengthHistory {
     /// An item ended whole.
-    pub fn finished(&mut self, guessed_tokens: u32, made_tokens: u32) {
+    pub fn record_finished(&mut self, guessed_tokens: u32, made_tokens: u32) {
         if self.finished.len() == MOST_REMEMBERED {
             self.finished.pop_front();
         }
@@ -55,7 +55,7 @@
     }
 
     /// Tokens still expected of an item that made so many; at least one.
-    pub fn remaining(&self, guessed_tokens: u32, made_tokens: u32) -> u32 {
+    pub fn expected_remaining(&self, guessed_tokens: u32, made_tokens: u32) -> u32 {
         let expected = self
             .expected_whole(guessed_tokens, made_tokens)
             .unwrap_or_else(|| guess_or_double(guessed_tokens, made_tokens));
--- a/crates/rollout/src/load_limit.rs
+++ b/crates/rollout/src/load_limit.rs
@@ -39,7 +39,7 @@
     }
 
     /// A load ended well after `took_ms`; `together` were under way when it began.
-    pub fn loaded(&mut self, took_ms: Millis, together: usize) {
+    pub fn record_load(&mut self, took_ms: Millis, together: usize) {
         let quickest = self.quickest_ms.map_or(took_ms, |known| known.min(took_ms));
         self.quickest_ms = Some(quickest);
         let is_slow = took_ms as f64 > quickest as f64 * SLOWED_DOWN;
--- a/crates/rollout/src/schedule/claim.rs
+++ b/crates/rollout/src/schedule/claim.rs
@@ -10,7 +10,7 @@
 
 use crate::Millis;
 
-use super::order::sort_waiting;
+use super::order::sort_by_expected_end;
 use super::{RunningItem, WaitingItem};
 
 /// Share of the longest wait after which an item is as urgent as the most urgent: it needs the rest of
@@ -35,13 +35,13 @@
     /// The tenant, or the route where callers hold no keys.
     pub claimant: Arc<str>,
     /// Time after which its items are given up.
-    pub longest_wait_ms: Millis,
+    pub max_wait_ms: Millis,
 }
 
 impl WaitingItem {
     fn rank(&self, most_urgent: u32, now: Millis) -> u32 {
-        let waited_ms = now.saturating_sub(self.since) as f64;
-        let is_promoted = waited_ms > self.claim.longest_wait_ms as f64 * PROMOTED_AFTER_SHARE;
+        let waited_ms = now.saturating_sub(self.batch_first_seen) as f64;
+        let is_promoted = waited_ms > self.claim.max_wait_ms as f64 * PROMOTED_AFTER_SHARE;
         if is_promoted {
             most_urgent
         } else {
@@ -52,19 +52,19 @@
 
 /// Orders waiting items by when they get places. Where there is a place for each, the one that is
 /// expected to end last goes first, as it does among those that get one.
-pub fn order_waiting(
+pub fn prioritize_waiting(
     waiting: &mut Vec<WaitingItem>,
     running: &[RunningItem],
-    free_places: usize,
+    free_slots: usize,
     now: Millis,
     token_ms: f64,
 ) {
-    sort_waiting(waiting, now, token_ms);
-    if waiting.len() <= free_places {
+    sort_by_expected_end(waiting, now, token_ms);
+    if waiting.len() <= free_slots {
         return;
     }
     *waiting = by_claims(std::mem::take(waiting), running, now);
-    sort_waiting(&mut waiting[..free_places], now, token_ms);
+    sort_by_expected_end(&mut waiting[..free_slots], now, token_ms);
 }
 
 fn by_claims(waiting: Vec<WaitingItem>, running: &[RunningItem], now: Millis) -> Vec<WaitingItem> {
@@ -81,7 +81,7 @@
     for mut queues in by_rank.into_values() {
         while let Some(item) = take_next(&mut queues, &held) {
             let held = held.entry(item.claim.claimant.clone()).or_default();
-            *held += u64::from(item.tokens().at_end());
+            *held += u64::from(item.tokens().tokens_at_end());
             ordered.push(item);
         }
     }
@@ -109,7 +109,7 @@
     let mut held: BTreeMap<Arc<str>, u64> = BTreeMap::new();
     for running in running {
         let claimant = running.item.claim.claimant.clone();
-        *held.entry(claimant).or_default() += u64::from(running.item.tokens().at_end());
+        *held.entry(claimant).or_default() += u64::from(running.item.tokens().tokens_at_end());
     }
     held
 }
--- a/crates/rollout/src/schedule/memory.rs
+++ b/crates/rollout/src/schedule/memory.rs
@@ -15,7 +15,7 @@
 
 impl ItemTokens {
     /// Tokens that it is expected to hold when it ends.
-    pub fn at_end(self) -> u32 {
+    pub fn tokens_at_end(self) -> u32 {
         self.held.saturating_add(self.remaining)
     }
 }
@@ -26,21 +26,21 @@
     /// Tokens that it takes; `None` if that is not known, or its work holds none.
     pub capacity: Option<u32>,
     /// Tokens that other nodes' items there are expected to hold when they end.
-    pub elsewhere: u32,
+    pub other_nodes_tokens: u32,
     /// This node's items there.
     pub items: Vec<ItemTokens>,
 }
 
 impl TokenMemory {
     /// Tokens that all items there are expected to hold when they end.
-    pub fn expected(&self) -> u32 {
-        let own = self.items.iter().map(|item| item.at_end());
-        own.fold(self.elsewhere, u32::saturating_add)
+    pub fn expected_tokens(&self) -> u32 {
+        let own = self.items.iter().map(|item| item.tokens_at_end());
+        own.fold(self.other_nodes_tokens, u32::saturating_add)
     }
 
     /// Whether an item fits beside the others. An empty back end takes whatever comes.
     pub fn fits(&self, item: ItemTokens) -> bool {
-        self.expected() == 0 || self.shortage(item) == 0
+        self.expected_tokens() == 0 || self.shortage(item) == 0
     }
 
     /// Tokens by which the memory is expected to be exceeded with an item more.
@@ -58,7 +58,7 @@
             let running = items().filter(|other| other.remaining >= ending.remaining);
             running
                 .map(|other| other.held.saturating_add(ending.remaining))
-                .fold(self.elsewhere, u32::saturating_add)
+                .fold(self.other_nodes_tokens, u32::saturating_add)
         };
         items().map(held_before_end_of).max().unwrap_or(0)
     }
@@ -66,19 +66,19 @@
     /// Share of the memory that is expected to be taken when all items there and one more end; `None`
     /// if its size is not known.
     pub fn share_with(&self, item: ItemTokens) -> Option<f64> {
-        let needed = f64::from(self.expected()) + f64::from(item.at_end());
+        let needed = f64::from(self.expected_tokens()) + f64::from(item.tokens_at_end());
         self.capacity
             .filter(|capacity| *capacity > 0)
             .map(|capacity| needed / f64::from(capacity))
     }
 
     /// An item is added.
-    pub fn take(&mut self, item: ItemTokens) {
+    pub fn add(&mut self, item: ItemTokens) {
         self.items.push(item);
     }
 
     /// An item is taken away.
-    pub fn give_back(&mut self, item: ItemTokens) {
+    pub fn remove(&mut self, item: ItemTokens) {
         if let Some(at) = self.items.iter().position(|other| *other == item) {
             self.items.swap_remove(at);
         }
--- a/crates/rollout/src/schedule/mod.rs
+++ b/crates/rollout/src/schedule/mod.rs
@@ -14,13 +14,13 @@
 use crate::ids::{BackendId, BatchId, GroupId, ItemId, ModelName, RegionName, Version};
 use crate::residency::Residency;
 
-pub use claim::{Claim, order_waiting, urgency};
+pub use claim::{Claim, prioritize_waiting, urgency};
 pub use memory::{ItemTokens, TokenMemory};
-pub use order::sort_waiting;
-pub use placement::choose;
-pub use relocation::{Relocation, RunningItem, relocations};
+pub use order::sort_by_expected_end;
+pub use placement::choose_backend;
+pub use relocation::{Relocation, RunningItem, plan_relocations};
 pub use required_groups::optional_items;
-pub use trial::trials;
+pub use trial::assign_probes;
 
 /// An item that waits for a place.
 #[derive(Debug, Clone, PartialEq)]
@@ -30,7 +30,7 @@
     /// Item.
     pub item: ItemId,
     /// Whether its step can be whole without it.
-    pub optional: bool,
+    pub is_optional: bool,
     /// On whose behalf it runs.
     pub claim: Claim,
     /// Tokens still expected.
@@ -38,7 +38,7 @@
     /// Tokens of its prompt and of its output so far.
     pub held_tokens: u32,
     /// When its batch was first seen.
-    pub since: Millis,
+    pub batch_first_seen: Millis,
     /// Model it needs.
     pub model: Option<ModelName>,
     /// Oldest version it may run on.
@@ -85,7 +85,7 @@
     /// Milliseconds between two events of a stream there.
     pub event_gap_ms: f64,
     /// Whether it failed before and is given one item to see if it does still.
-    pub on_trial: bool,
+    pub is_half_open: bool,
     /// Versions of its models.
     pub models: BTreeMap<ModelName, Version>,
     /// Groups whose prompt it holds.
@@ -94,29 +94,29 @@
 
 impl Candidate {
     /// Places that are free for any item.
-    pub fn free_places(&self) -> usize {
-        if self.on_trial {
+    pub fn free_slots(&self) -> usize {
+        if self.is_half_open {
             return 0;
         }
         self.slots.saturating_sub(self.running) as usize
     }
 
     /// An item takes a place there.
-    pub fn take(&mut self, item: &WaitingItem) {
+    pub fn add_item(&mut self, item: &WaitingItem) {
         self.running += 1;
-        self.memory.take(item.tokens());
+        self.memory.add(item.tokens());
         self.groups.extend(item.group.clone());
     }
 
     /// An item gives its place back.
-    pub fn give_back(&mut self, item: &WaitingItem) {
+    pub fn remove_item(&mut self, item: &WaitingItem) {
         self.running = self.running.saturating_sub(1);
-        self.memory.give_back(item.tokens());
+        self.memory.remove(item.tokens());
     }
 
     /// Whether the item may run there now: not where it would be on trial.
     pub fn accepts(&self, item: &WaitingItem) -> bool {
-        !self.on_trial && self.has_place_for(item)
+        !self.is_half_open && self.has_place_for(item)
     }
 
     /// Whether it has a free place and new enough weights for the item.
--- a/crates/rollout/src/schedule/order.rs
+++ b/crates/rollout/src/schedule/order.rs
@@ -10,9 +10,9 @@
 /// Orders waiting items by when they are expected to end, counted from their batch's begin, if they
 /// start now: the latest first, since it decides how long its step lasts. So a long item of a new
 /// batch goes before a short one of an older batch, and of equally long ones the older batch's.
-pub fn sort_waiting(waiting: &mut [WaitingItem], now: Millis, token_ms: f64) {
+pub fn sort_by_expected_end(waiting: &mut [WaitingItem], now: Millis, token_ms: f64) {
     let end_ms = |item: &WaitingItem| {
-        let age_ms = now.saturating_sub(item.since) as f64;
+        let age_ms = now.saturating_sub(item.batch_first_seen) as f64;
         age_ms + f64::from(item.expected_tokens) * token_ms
     };
     waiting.sort_by(|left, right| {
--- a/crates/rollout/src/schedule/placement.rs
+++ b/crates/rollout/src/schedule/placement.rs
@@ -18,7 +18,10 @@
 
 /// The best place for an item, or none. One where the memory would run out is taken only for want
 /// of others, and then the one that lacks the least.
-pub fn choose<'a>(item: &WaitingItem, candidates: &'a [Candidate]) -> Option<&'a Candidate> {
+pub fn choose_backend<'a>(
+    item: &WaitingItem,
+    candidates: &'a [Candidate],
+) -> Option<&'a Candidate> {
     let tokens = item.tokens();
     let fitting = candidates
         .iter()
--- a/crates/rollout/src/schedule/relocation.rs
+++ b/crates/rollout/src/schedule/relocation.rs
@@ -50,7 +50,7 @@
 const MOST_SETTLING_DOUBLINGS: u32 = 4;
 
 /// Moves of items to free places on back ends where they end clearly sooner, the longest first.
-pub fn relocations(
+pub fn plan_relocations(
     mut running: Vec<RunningItem>,
     mut candidates: Vec<Candidate>,
 ) -> Vec<Relocation> {
@@ -64,8 +64,8 @@
         let Some(to) = best_target(&running, &candidates, from) else {
             continue;
         };
-        candidates[from].give_back(&running.item);
-        candidates[to].take(&running.item);
+        candidates[from].remove_item(&running.item);
+        candidates[to].add_item(&running.item);
         moves.push(Relocation {
             to: candidates[to].backend.clone(),
             item: running.item,
--- a/crates/rollout/src/schedule/trial.rs
+++ b/crates/rollout/src/schedule/trial.rs
@@ -13,10 +13,10 @@
 /// Sends an item to each back end on trial: the last of the waiting items, if it is in the second half of them; or
 /// one that no other back end takes. `waiting` is in the order in which items get places. Answers the positions of
 /// these items, and where they go.
-pub fn trials(waiting: &[WaitingItem], candidates: &[Candidate]) -> Vec<(usize, BackendId)> {
+pub fn assign_probes(waiting: &[WaitingItem], candidates: &[Candidate]) -> Vec<(usize, BackendId)> {
     let mut used = HashSet::new();
     let mut trials = Vec::new();
-    let on_trial = candidates.iter().filter(|candidate| candidate.on_trial);
+    let on_trial = candidates.iter().filter(|candidate| candidate.is_half_open);
     for candidate in on_trial {
         let fits = |at: &usize| !used.contains(at) && candidate.has_place_for(&waiting[*at]);
         let goes_last = (waiting.len().div_ceil(2)..waiting.len()).rev().find(fits);
--- a/crates/rollout/src/stall.rs
+++ b/crates/rollout/src/stall.rs
@@ -56,9 +56,9 @@
     /// Where.
     pub backend: &'a BackendId,
     /// When it began.
-    pub began: Millis,
+    pub started_at: Millis,
     /// When its last event came, or the head of its answer, if one has.
-    pub last_event: Option<Millis>,
+    pub last_event_at: Option<Millis>,
 }
 
 /// Why a run counts as stalled.
@@ -142,7 +142,7 @@
 
 impl StallDetector {
     /// An event came from a back end, so long after the one before it of the same run.
-    pub fn heard(&mut self, backend: &BackendId, gap_ms: Option<Millis>, now: Millis) {
+    pub fn record_event(&mut self, backend: &BackendId, gap_ms: Option<Millis>, now: Millis) {
         let activity = self.activity(backend);
         activity.heard = Some(now);
         activity.unreachable = None;
@@ -152,7 +152,7 @@
     }
 
     /// A new connection to a back end did not come up.
-    pub fn unreachable(&mut self, backend: &BackendId, now: Millis) {
+    pub fn record_connect_failure(&mut self, backend: &BackendId, now: Millis) {
         self.activity(backend).unreachable = Some(now);
     }
 
@@ -163,7 +163,7 @@
 
     /// The runs that are stalled, of all that this node has under way. `is_loading` says whether a back end is
     /// under an order to load weights. To be asked some times a second while runs are under way.
-    pub fn look(
+    pub fn find_stalls(
         &mut self,
         runs: &[WatchedRun<'_>],
         is_loading: impl Fn(&BackendId) -> bool,
@@ -208,7 +208,7 @@
         let activity = self.backends.get(run.backend);
         let heard = activity.and_then(|activity| activity.heard).unwrap_or(0);
         let counted_from = activity.map_or(0, |activity| activity.counted_from);
-        let of_run = run.last_event.unwrap_or(run.began);
+        let of_run = run.last_event_at.unwrap_or(run.started_at);
         heard.max(of_run).max(counted_from).max(self.counted_from)
     }
 
@@ -223,7 +223,7 @@
         let (mut silent, mut heard) = (0, 0);
         for (backend, of_backend) in used {
             let latest = self.backends.get(*backend).and_then(|seen| seen.heard);
-            let oldest_run = of_backend.iter().map(|&run| runs[run].began).min();
+            let oldest_run = of_backend.iter().map(|&run| runs[run].started_at).min();
             let since = latest.max(oldest_run).unwrap_or(now);
             match now.saturating_sub(since) >= SILENT_MS {
                 true => silent += 1,
@@ -245,7 +245,7 @@
         let activity = self.backends.get(watched.backend);
         let unreachable = activity.and_then(|activity| activity.unreachable);
         let is_unreachable = unreachable.is_some_and(|at| at >= quiet_since);
-        let (reason, patience_ms) = match watched.last_event {
+        let (reason, patience_ms) = match watched.last_event_at {
             _ if is_unreachable => (StallReason::Unreachable, UNREACHABLE_PATIENCE_MS),
             None => (StallReason::NeverBegun, FIRST_EVENT_PATIENCE_MS),
             Some(_) => {
--- a/crates/rollout/tests/circuit_breaker.rs
+++ b/crates/rollout/tests/circuit_breaker.rs
@@ -5,7 +5,7 @@
 /// A breaker that opened at 1,000 with a run that began at 980.
 fn opened() -> CircuitBreaker {
     let mut breaker = CircuitBreaker::default();
-    assert_eq!(breaker.failed(980, 1_000), Some(250));
+    assert_eq!(breaker.record_failure(980, 1_000), Some(250));
     breaker
 }
 
@@ -14,7 +14,7 @@
     let breaker = opened();
     assert_eq!(breaker.admission(1_000), Admission::None);
     assert_eq!(breaker.admission(1_249), Admission::None);
-    assert_eq!(breaker.admission(1_250), Admission::One);
+    assert_eq!(breaker.admission(1_250), Admission::Probe);
 }
 
 /// Eight runs that break together with one engine are one event, not eight.
@@ -22,27 +22,31 @@
 fn failures_of_runs_from_before_do_not_lengthen_it() {
     let mut breaker = opened();
     for at in 1_000..1_008 {
-        assert_eq!(breaker.failed(980, at), None);
+        assert_eq!(breaker.record_failure(980, at), None);
     }
-    assert_eq!(breaker.failed(990, 1_300), None, "a connection timed out");
-    assert_eq!(breaker.admission(1_300), Admission::One);
+    assert_eq!(
+        breaker.record_failure(990, 1_300),
+        None,
+        "a connection timed out"
+    );
+    assert_eq!(breaker.admission(1_300), Admission::Probe);
 }
 
 #[test]
 fn one_probe_is_sent_at_a_time() {
     let mut breaker = opened();
-    breaker.started(1_260);
+    breaker.record_start(1_260);
     assert_eq!(breaker.admission(1_300), Admission::None);
-    assert!(breaker.answered(1_260));
+    assert!(breaker.record_answer(1_260));
     assert_eq!(breaker.admission(1_301), Admission::All);
 }
 
 #[test]
 fn a_probe_of_which_nothing_is_heard_does_not_bar_it_for_good() {
     let mut breaker = opened();
-    breaker.started(1_260);
+    breaker.record_start(1_260);
     assert_eq!(breaker.admission(2_259), Admission::None);
-    assert_eq!(breaker.admission(2_260), Admission::One);
+    assert_eq!(breaker.admission(2_260), Admission::Probe);
 }
 
 #[test]
@@ -50,11 +54,11 @@
     let mut breaker = opened();
     let mut now = 1_250;
     for open_ms in [500, 1_000, 2_000, 2_000] {
-        breaker.started(now);
-        assert_eq!(breaker.failed(now, now + 30), Some(open_ms));
+        breaker.record_start(now);
+        assert_eq!(breaker.record_failure(now, now + 30), Some(open_ms));
         now += 30 + open_ms;
         assert_eq!(breaker.admission(now - 1), Admission::None);
-        assert_eq!(breaker.admission(now), Admission::One);
+        assert_eq!(breaker.admission(now), Admission::Probe);
     }
 }
 
@@ -62,7 +66,7 @@
 #[test]
 fn a_run_that_began_before_does_not_close_it() {
     let mut breaker = opened();
-    assert!(!breaker.answered(400));
+    assert!(!breaker.record_answer(400));
     assert_eq!(breaker.admission(1_100), Admission::None);
 }
 
@@ -70,29 +74,33 @@
 #[test]
 fn one_that_closed_and_fails_again_soon_opens_for_longer() {
     let mut breaker = opened();
-    breaker.started(1_260);
-    assert!(breaker.answered(1_260));
-    assert_eq!(breaker.failed(1_300, 1_330), Some(500));
-    breaker.started(1_900);
-    assert!(breaker.answered(1_900));
-    assert_eq!(breaker.failed(20_000, 20_030), Some(250), "long ago");
+    breaker.record_start(1_260);
+    assert!(breaker.record_answer(1_260));
+    assert_eq!(breaker.record_failure(1_300, 1_330), Some(500));
+    breaker.record_start(1_900);
+    assert!(breaker.record_answer(1_900));
+    assert_eq!(
+        breaker.record_failure(20_000, 20_030),
+        Some(250),
+        "long ago"
+    );
 }
 
 #[test]
 fn runs_cut_short_open_it_only_together() {
     let mut breaker = CircuitBreaker::default();
-    assert_eq!(breaker.cut_short(1_000), None);
-    assert_eq!(breaker.cut_short(1_300), None);
-    assert_eq!(breaker.cut_short(1_600), None);
-    assert_eq!(breaker.cut_short(1_610), None);
-    assert_eq!(breaker.cut_short(1_620), Some(250));
+    assert_eq!(breaker.record_cut_short(1_000), None);
+    assert_eq!(breaker.record_cut_short(1_300), None);
+    assert_eq!(breaker.record_cut_short(1_600), None);
+    assert_eq!(breaker.record_cut_short(1_610), None);
+    assert_eq!(breaker.record_cut_short(1_620), Some(250));
     assert_eq!(breaker.admission(1_620), Admission::None);
 }
 
 #[test]
 fn one_without_a_place_is_left_alone_for_a_moment() {
     let mut breaker = CircuitBreaker::default();
-    breaker.turned_away(1_000);
+    breaker.record_rejection(1_000);
     assert_eq!(breaker.admission(1_059), Admission::None);
     assert_eq!(breaker.admission(1_060), Admission::All);
 }
--- a/crates/rollout/tests/claims.rs
+++ b/crates/rollout/tests/claims.rs
@@ -5,7 +5,7 @@
 use havenstage_rollout::ids::{BatchId, ItemId};
 use havenstage_rollout::residency::Residency;
 use havenstage_rollout::schedule::{
-    Claim, RunningItem, WaitingItem, order_waiting, sort_waiting, urgency,
+    Claim, RunningItem, WaitingItem, prioritize_waiting, sort_by_expected_end, urgency,
 };
 use support::{backend, claim};
 
@@ -38,7 +38,7 @@
 type Order = fn(&mut Vec<WaitingItem>, &[RunningItem], usize, u64);
 
 fn by_claims(waiting: &mut Vec<WaitingItem>, running: &[RunningItem], free: usize, now: u64) {
-    order_waiting(waiting, running, free, now, 1.0);
+    prioritize_waiting(waiting, running, free, now, 1.0);
 }
 
 /// Plays bursts on a pool whose places change: pairs of a time and a number.
@@ -58,7 +58,7 @@
         for item in waiting.drain(..free.min(waiting.len())) {
             waits.push(Wait {
                 claimant: item.claim.claimant.to_string(),
-                ms: now - item.since,
+                ms: now - item.batch_first_seen,
             });
             running.push(started(item));
         }
@@ -74,11 +74,11 @@
     WaitingItem {
         batch: BatchId::from("batch"),
         item: ItemId::from(format!("{} {} {at}", burst.claim.claimant, burst.at_ms)),
-        optional: false,
+        is_optional: false,
         claim: burst.claim.clone(),
         expected_tokens: TOKENS,
         held_tokens: 0,
-        since: burst.at_ms,
+        batch_first_seen: burst.at_ms,
         model: None,
         minimum_version: 0,
         exact_version: None,
@@ -124,7 +124,7 @@
     let waits = play(&bursts, &[(0, 20)], by_claims);
     assert!(longest_wait(&waits, "steady") <= ITEM_MS);
     let before = play(&bursts, &[(0, 20)], |waiting, _, _, now| {
-        sort_waiting(waiting, now, 1.0);
+        sort_by_expected_end(waiting, now, 1.0);
     });
     assert!(
         longest_wait(&before, "steady") > 10 * ITEM_MS,
@@ -170,7 +170,7 @@
 /// A patient claimant's burst beside more of the urgent than there are places for, for a minute.
 fn patient_beside_urgent(longest_wait_ms: u64) -> u64 {
     let patient = Claim {
-        longest_wait_ms,
+        max_wait_ms: longest_wait_ms,
         ..claim(2, "patient")
     };
     let mut bursts = each_second(60, &claim(0, "urgent"), 30);
@@ -199,10 +199,10 @@
         item("mid", 1, 50),
     ];
     let mut sorted = waiting.clone();
-    order_waiting(&mut waiting, &[], 3, 0, 1.0);
-    sort_waiting(&mut sorted, 0, 1.0);
+    prioritize_waiting(&mut waiting, &[], 3, 0, 1.0);
+    sort_by_expected_end(&mut sorted, 0, 1.0);
     assert_eq!(waiting, sorted);
-    order_waiting(&mut waiting, &[], 2, 0, 1.0);
+    prioritize_waiting(&mut waiting, &[], 2, 0, 1.0);
     let order: Vec<&str> = waiting.iter().map(|item| &*item.claim.claimant).collect();
     assert_eq!(
         order,
@@ -220,7 +220,7 @@
     };
     let mut waiting: Vec<WaitingItem> = (0..9).map(|at| item("long", 1_000, at)).collect();
     waiting.extend((0..90).map(|at| item("short", 100, at)));
-    order_waiting(&mut waiting, &[], 22, 0, 1.0);
+    prioritize_waiting(&mut waiting, &[], 22, 0, 1.0);
     let long = waiting[..22]
         .iter()
         .filter(|item| &*item.claim.claimant == "long");
--- a/crates/rollout/tests/concurrency_limit.rs
+++ b/crates/rollout/tests/concurrency_limit.rs
@@ -6,13 +6,13 @@
 /// calls that were turned away in each round.
 fn play(limit: &mut ConcurrencyLimit, places: u32, rounds: std::ops::Range<u64>) -> Vec<u32> {
     let round = |at: u64| {
-        let begun = (0..1_000).take_while(|_| limit.try_begin()).count() as u32;
+        let begun = (0..1_000).take_while(|_| limit.try_start()).count() as u32;
         for call in 0..begun {
             let end = match call < places {
-                true => CallEnd::Taken,
-                false => CallEnd::TurnedAway,
+                true => CallEnd::Accepted,
+                false => CallEnd::Rejected,
             };
-            limit.ended(end, 1, at * 150);
+            limit.record_end(end, 1, at * 150);
         }
         begun.saturating_sub(places)
     };
@@ -44,22 +44,22 @@
     let mut limit = ConcurrencyLimit::default();
     play(&mut limit, 0, 0..50);
     assert_eq!(limit.limit(), 1);
-    assert!(limit.try_begin());
-    assert!(!limit.try_begin());
-    limit.ended(CallEnd::Unknown, 1, 9_000);
-    assert!(limit.try_begin());
+    assert!(limit.try_start());
+    assert!(!limit.try_start());
+    limit.record_end(CallEnd::Unknown, 1, 9_000);
+    assert!(limit.try_start());
 }
 
 /// Rounds in which the pool takes all calls into its queues: it works on `places` of them at once, and the others wait.
 fn play_queue(limit: &mut ConcurrencyLimit, places: u32, share: u32) {
     for at in 0..100 {
-        let begun = (0..1_000).take_while(|_| limit.try_begin()).count() as u32;
+        let begun = (0..1_000).take_while(|_| limit.try_start()).count() as u32;
         for call in 0..begun {
             let end = match call < places {
-                true => CallEnd::Taken,
-                false => CallEnd::TakenLate,
+                true => CallEnd::Accepted,
+                false => CallEnd::AcceptedLate,
             };
-            limit.ended(end, share, at * 150);
+            limit.record_end(end, share, at * 150);
         }
     }
 }
--- a/crates/rollout/tests/expected_length.rs
+++ b/crates/rollout/tests/expected_length.rs
@@ -39,14 +39,14 @@
                     count += 1.0;
                 }
             }
-            history.finished(item.guess, item.length);
+            history.record_finished(item.guess, item.length);
         }
     }
     sum / count
 }
 
 fn guess_then_double(_: &LengthHistory, item: &Drawn, made: u32) -> u32 {
-    LengthHistory::default().remaining(item.guess, made)
+    LengthHistory::default().expected_remaining(item.guess, made)
 }
 
 fn guess_alone(_: &LengthHistory, item: &Drawn, made: u32) -> u32 {
@@ -54,7 +54,7 @@
 }
 
 fn as_built(history: &LengthHistory, item: &Drawn, made: u32) -> u32 {
-    history.remaining(item.guess, made)
+    history.expected_remaining(item.guess, made)
 }
 
 #[test]
@@ -69,27 +69,27 @@
 #[test]
 fn without_finished_items_the_guess_counts_and_then_what_was_made() {
     let history = LengthHistory::default();
-    assert_eq!(history.remaining(100, 0), 100);
-    assert_eq!(history.remaining(100, 99), 1);
-    assert_eq!(history.remaining(100, 100), 100);
-    assert_eq!(history.remaining(100, 300), 300);
-    assert_eq!(history.remaining(0, 0), 1);
+    assert_eq!(history.expected_remaining(100, 0), 100);
+    assert_eq!(history.expected_remaining(100, 99), 1);
+    assert_eq!(history.expected_remaining(100, 100), 100);
+    assert_eq!(history.expected_remaining(100, 300), 300);
+    assert_eq!(history.expected_remaining(0, 0), 1);
 }
 
 #[test]
 fn an_item_near_its_guess_is_expected_to_go_on_as_others_did() {
     let mut history = LengthHistory::default();
     for made in [50, 60, 80, 90, 120, 150, 200, 330] {
-        history.finished(100, made);
+        history.record_finished(100, made);
     }
-    assert_eq!(history.remaining(100, 0), 135, "the mean of all");
+    assert_eq!(history.expected_remaining(100, 0), 135, "the mean of all");
     assert_eq!(
-        history.remaining(100, 100),
+        history.expected_remaining(100, 100),
         100,
         "of the four that were longer"
     );
     assert_eq!(
-        history.remaining(1_000, 1_000),
+        history.expected_remaining(1_000, 1_000),
         1_000,
         "in proportion to the guess"
     );
@@ -99,21 +99,25 @@
 fn nothing_is_expected_to_be_longer_than_all_that_ended() {
     let mut history = LengthHistory::default();
     for at in 0..64 {
-        history.finished(100, 80 + at);
+        history.record_finished(100, 80 + at);
     }
-    assert_eq!(history.remaining(5_000, 0), 143);
-    assert_eq!(history.remaining(5_000, 140), 3);
-    assert_ne!(history.remaining(5_000, 200), 1, "it is longer already");
+    assert_eq!(history.expected_remaining(5_000, 0), 143);
+    assert_eq!(history.expected_remaining(5_000, 140), 3);
+    assert_ne!(
+        history.expected_remaining(5_000, 200),
+        1,
+        "it is longer already"
+    );
 }
 
 #[test]
 fn old_items_are_forgotten() {
     let mut history = LengthHistory::default();
     for _ in 0..1_000 {
-        history.finished(100, 400);
+        history.record_finished(100, 400);
     }
     for _ in 0..256 {
-        history.finished(100, 50);
+        history.record_finished(100, 50);
     }
-    assert_eq!(history.remaining(100, 0), 50);
+    assert_eq!(history.expected_remaining(100, 0), 50);
 }
--- a/crates/rollout/tests/load_limit.rs
+++ b/crates/rollout/tests/load_limit.rs
@@ -18,11 +18,11 @@
 #[test]
 fn slow_loads_make_it_shrink_but_never_below_the_least() {
     let mut limit = LoadLimit::new(LEAST);
-    limit.loaded(USUAL_MS, 2);
-    limit.loaded(2 * USUAL_MS, 10);
+    limit.record_load(USUAL_MS, 2);
+    limit.record_load(2 * USUAL_MS, 10);
     assert_eq!(limit.allowed(50), 7);
     for _ in 0..50 {
-        limit.loaded(2 * USUAL_MS, 10);
+        limit.record_load(2 * USUAL_MS, 10);
     }
     assert_eq!(limit.allowed(50), LEAST);
 }
@@ -30,10 +30,10 @@
 #[test]
 fn quick_loads_bring_it_back() {
     let mut limit = LoadLimit::new(LEAST);
-    limit.loaded(USUAL_MS, 2);
-    limit.loaded(3 * USUAL_MS, 10);
+    limit.record_load(USUAL_MS, 2);
+    limit.record_load(3 * USUAL_MS, 10);
     for _ in 0..20 {
-        limit.loaded(USUAL_MS, 5);
+        limit.record_load(USUAL_MS, 5);
     }
     assert_eq!(limit.allowed(50), 10);
 }
@@ -42,7 +42,7 @@
 #[test]
 fn a_lone_slow_load_changes_nothing() {
     let mut limit = LoadLimit::new(LEAST);
-    limit.loaded(USUAL_MS, 1);
-    limit.loaded(5 * USUAL_MS, 1);
+    limit.record_load(USUAL_MS, 1);
+    limit.record_load(5 * USUAL_MS, 1);
     assert_eq!(limit.allowed(50), 10);
 }
--- a/crates/rollout/tests/schedule.rs
+++ b/crates/rollout/tests/schedule.rs
@@ -10,8 +10,8 @@
 use havenstage_rollout::ids::{BatchId, GroupId, ItemId, ModelName, RegionName};
 use havenstage_rollout::residency::Residency;
 use havenstage_rollout::schedule::{
-    Candidate, ItemTokens, RunningItem, TokenMemory, WaitingItem, choose, optional_items,
-    relocations, sort_waiting, trials,
+    Candidate, ItemTokens, RunningItem, TokenMemory, WaitingItem, assign_probes, choose_backend,
+    optional_items, plan_relocations, sort_by_expected_end,
 };
 use support::{backend, claim, item, submitted};
 
@@ -19,11 +19,11 @@
     WaitingItem {
         batch: BatchId::from("batch"),
         item: ItemId::from(id),
-        optional,
+        is_optional: optional,
         claim: claim(0, "route"),
         expected_tokens,
         held_tokens: 0,
-        since: 0,
+        batch_first_seen: 0,
         model: Some(ModelName::from("model")),
         minimum_version: 3,
         exact_version: None,
@@ -41,14 +41,14 @@
         slots: 8,
         memory: TokenMemory::default(),
         event_gap_ms: 40.0 / speed,
-        on_trial: false,
+        is_half_open: false,
         models: BTreeMap::from([(ModelName::from("model"), version)]),
         groups: HashSet::new(),
     }
 }
 
 fn chosen(candidates: &[Candidate]) -> Option<String> {
-    choose(&waiting("item", false, 10), candidates).map(|chosen| chosen.backend.to_string())
+    choose_backend(&waiting("item", false, 10), candidates).map(|chosen| chosen.backend.to_string())
 }
 
 #[test]
@@ -58,7 +58,7 @@
         waiting("optional", true, 500),
         waiting("long", false, 50),
     ];
-    sort_waiting(&mut items, 0, 1.0);
+    sort_by_expected_end(&mut items, 0, 1.0);
     let order: Vec<&str> = items.iter().map(|item| item.item.as_str()).collect();
     assert_eq!(order, ["optional", "long", "short"]);
 }
@@ -66,22 +66,22 @@
 #[test]
 fn of_equally_long_items_that_of_the_older_batch_goes_first() {
     let mut older = waiting("older", true, 50);
-    older.since = 1_000;
+    older.batch_first_seen = 1_000;
     let mut newer = waiting("newer", false, 60);
-    newer.since = 5_000;
+    newer.batch_first_seen = 5_000;
     let mut items = [newer, older];
-    sort_waiting(&mut items, 5_000, 1.0);
+    sort_by_expected_end(&mut items, 5_000, 1.0);
     assert_eq!(items[0].item.as_str(), "older");
 }
 
 #[test]
 fn a_long_item_of_a_new_batch_goes_before_a_short_one_of_an_older_batch() {
     let mut older = waiting("short", false, 500);
-    older.since = 1_000;
+    older.batch_first_seen = 1_000;
     let mut newer = waiting("long", false, 6_000);
-    newer.since = 5_000;
+    newer.batch_first_seen = 5_000;
     let mut items = [older, newer];
-    sort_waiting(&mut items, 5_000, 1.0);
+    sort_by_expected_end(&mut items, 5_000, 1.0);
     assert_eq!(items[0].item.as_str(), "long");
 }
 
@@ -111,7 +111,7 @@
 }
 
 fn by_guess(item: &ItemState) -> u32 {
-    LengthHistory::default().remaining(item.expected_tokens, item.events.len() as u32)
+    LengthHistory::default().expected_remaining(item.expected_tokens, item.events.len() as u32)
 }
 
 #[test]
@@ -149,7 +149,7 @@
 }
 
 fn moved(running: Vec<RunningItem>, candidates: Vec<Candidate>) -> Vec<(String, String)> {
-    let moves = relocations(running, candidates);
+    let moves = plan_relocations(running, candidates);
     moves
         .into_iter()
         .map(|m| (m.item.item.to_string(), m.to.to_string()))
@@ -202,10 +202,10 @@
     bound.exact_version = Some(4);
     let both = [candidate("newer", 0, 5, 1.0), candidate("same", 5, 4, 1.0)];
     assert_eq!(
-        choose(&bound, &both).map(|c| c.backend.clone()),
+        choose_backend(&bound, &both).map(|c| c.backend.clone()),
         Some(backend("same"))
     );
-    assert!(choose(&bound, &both[..1]).is_none());
+    assert!(choose_backend(&bound, &both[..1]).is_none());
 }
 
 #[test]
@@ -262,7 +262,7 @@
     Candidate {
         memory: TokenMemory {
             capacity: Some(30_000),
-            elsewhere: expected,
+            other_nodes_tokens: expected,
             items: Vec::new(),
         },
         ..candidate(id, running, 3, speed)
@@ -270,7 +270,7 @@
 }
 
 fn placed(tokens: u32, candidates: &[Candidate]) -> Option<String> {
-    let chosen = choose(&waiting("item", false, tokens), candidates);
+    let chosen = choose_backend(&waiting("item", false, tokens), candidates);
     chosen.map(|chosen| chosen.backend.to_string())
 }
 
@@ -315,7 +315,7 @@
 #[test]
 fn a_memory_of_unknown_size_turns_nothing_away() {
     let mut unknown = candidate("unknown", 0, 3, 1.0);
-    unknown.memory.elsewhere = 1_000_000;
+    unknown.memory.other_nodes_tokens = 1_000_000;
     assert_eq!(placed(9_000, &[unknown]).as_deref(), Some("unknown"));
 }
 
@@ -327,14 +327,21 @@
     let mut long = waiting("long", false, 9_000);
     long.group = None;
     for _ in 0..9 {
-        let chosen = choose(&long, &candidates).unwrap().backend.clone();
+        let chosen = choose_backend(&long, &candidates).unwrap().backend.clone();
         let at = candidates.iter().position(|c| c.backend == chosen).unwrap();
-        candidates[at].take(&long);
+        candidates[at].add_item(&long);
     }
-    assert!(candidates.iter().all(|c| c.memory.expected() == 27_000));
-    candidates[0].give_back(&long);
+    assert!(
+        candidates
+            .iter()
+            .all(|c| c.memory.expected_tokens() == 27_000)
+    );
+    candidates[0].remove_item(&long);
     assert_eq!(
-        (candidates[0].running, candidates[0].memory.expected()),
+        (
+            candidates[0].running,
+            candidates[0].memory.expected_tokens()
+        ),
         (2, 18_000)
     );
 }
@@ -352,7 +359,7 @@
 fn on_trial(id: &str) -> Candidate {
     let candidate = candidate(id, 0, 3, 1.0);
     Candidate {
-        on_trial: true,
+        is_half_open: true,
         ..candidate
     }
 }
@@ -372,7 +379,7 @@
         on_trial("dark-2"),
         on_trial("dark-3"),
     ];
-    let sent = trials(&items, &candidates);
+    let sent = assign_probes(&items, &candidates);
     assert_eq!(sent, [(3, backend("dark-1")), (2, backend("dark-2"))]);
     assert_eq!(chosen(&candidates), Some("sound".to_owned()));
 }
@@ -381,9 +388,9 @@
 fn a_single_item_is_sent_on_trial_only_where_no_other_back_end_takes_it() {
     let items = [waiting("item", false, 500)];
     let sound = candidate("sound", 7, 3, 1.0);
-    assert_eq!(trials(&items, &[sound, on_trial("dark")]), []);
+    assert_eq!(assign_probes(&items, &[sound, on_trial("dark")]), []);
     let full = candidate("full", 8, 3, 1.0);
-    let sent = trials(&items, &[full, on_trial("dark")]);
+    let sent = assign_probes(&items, &[full, on_trial("dark")]);
     assert_eq!(sent, [(0, backend("dark"))]);
 }
 
@@ -397,17 +404,17 @@
         expected_events: 500,
         moves: 0,
     };
-    let moves = relocations(vec![running.clone()], vec![slow.clone(), on_trial("dark")]);
+    let moves = plan_relocations(vec![running.clone()], vec![slow.clone(), on_trial("dark")]);
     assert_eq!(moves, []);
     let sound = candidate("sound", 1, 3, 1.0);
-    assert_eq!(relocations(vec![running], vec![slow, sound]).len(), 1);
+    assert_eq!(plan_relocations(vec![running], vec![slow, sound]).len(), 1);
 }
 
 #[test]
 fn short_items_give_their_memory_back_before_long_ones_need_it() {
     let memory = |items: &[(u32, u32)]| TokenMemory {
         capacity: Some(30_000),
-        elsewhere: 0,
+        other_nodes_tokens: 0,
         items: items.iter().map(|item| tokens(*item)).collect(),
     };
     let long = tokens((300, 9_700));
@@ -418,10 +425,10 @@
         (900, 900),
         (1_500, 300),
     ]);
-    assert_eq!(with_short.expected(), 17_200);
+    assert_eq!(with_short.expected_tokens(), 17_200);
     assert!(with_short.fits(long));
     let with_many = memory(&[(300, 9_700), (2_000, 3_000), (2_000, 3_000), (1_800, 100)]);
-    assert!(with_many.expected() + long.at_end() > 30_000);
+    assert!(with_many.expected_tokens() + long.tokens_at_end() > 30_000);
     assert!(with_many.fits(long), "20,000 at the end of the long ones");
     assert!(!memory(&[(300, 9_700), (300, 9_800), (9_000, 9_000)]).fits(long));
 }
@@ -431,15 +438,15 @@
     let mut memory = with_memory("shared", 2, 25_000, 1.0).memory;
     assert!(memory.fits(tokens((1_000, 4_000))));
     assert!(!memory.fits(tokens((1_000, 4_001))));
-    memory.take(tokens((3_000, 1)));
+    memory.add(tokens((3_000, 1)));
     assert_eq!(
         memory.shortage(tokens((1_000, 4_000))),
         0,
         "it ends long before"
     );
     assert_eq!(memory.shortage(tokens((1_001, 4_000))), 1);
-    memory.give_back(tokens((3_000, 1)));
-    assert_eq!(memory.expected(), 25_000);
+    memory.remove(tokens((3_000, 1)));
+    assert_eq!(memory.expected_tokens(), 25_000);
 }
 
 fn tokens((held, remaining): (u32, u32)) -> ItemTokens {
--- a/crates/rollout/tests/stall.rs
+++ b/crates/rollout/tests/stall.rs
@@ -71,7 +71,8 @@
         }
         let gap_ms = last.map(|last| self.now - last);
         for _ in 0..RUNS_PER_ENGINE {
-            self.detector.heard(&self.engines[at], gap_ms, self.now);
+            self.detector
+                .record_event(&self.engines[at], gap_ms, self.now);
         }
         self.last_events[at] = Some(self.now);
     }
@@ -84,8 +85,8 @@
                 at_engine.push(at);
                 runs.push(WatchedRun {
                     backend,
-                    began: self.began,
-                    last_event: self.last_events[at],
+                    started_at: self.began,
+                    last_event_at: self.last_events[at],
                 });
             }
         }
@@ -94,7 +95,7 @@
             now: self.now,
             contact_age_ms: self.contact_age_ms,
         };
-        let stalls = self.detector.look(&runs, is_loading, node);
+        let stalls = self.detector.find_stalls(&runs, is_loading, node);
         for stall in &stalls {
             let told = (self.now, at_engine[stall.run], stall.reason);
             self.ended.push(told);
@@ -129,7 +130,7 @@
     let dark_since = fleet.now;
     fleet.pass(200, |at, _| (at != 0).then_some(GAP_MS), &[]);
     let dark = fleet.engines[0].clone();
-    fleet.detector.unreachable(&dark, fleet.now);
+    fleet.detector.record_connect_failure(&dark, fleet.now);
     fleet.pass(300, |at, _| (at != 0).then_some(GAP_MS), &[]);
     let (when, engine, reason) = fleet.ended[0];
     assert_eq!((engine, reason), (0, StallReason::Unreachable));
@@ -141,7 +142,7 @@
 fn an_old_failure_to_connect_says_nothing() {
     let mut fleet = Fleet::start();
     let first = fleet.engines[0].clone();
-    fleet.detector.unreachable(&first, fleet.now - 1);
+    fleet.detector.record_connect_failure(&first, fleet.now - 1);
     fleet.pass(700, |at, _| (at != 0).then_some(GAP_MS), &[]);
     assert_eq!(fleet.ended, []);
 }
@@ -257,14 +258,14 @@
     let mut stalls_at = |silent_ms: Millis| {
         let run = WatchedRun {
             backend: &engine,
-            began: 1_000,
-            last_event: Some(5_000),
+            started_at: 1_000,
+            last_event_at: Some(5_000),
         };
         let node = NodeState {
             now: 5_000 + silent_ms,
             contact_age_ms: 20,
         };
-        detector.look(&[run], |_| false, node)
+        detector.find_stalls(&[run], |_| false, node)
     };
     for look in 0..8 {
         assert_eq!(stalls_at(look * LATE_LOOK_MS), [], "{look} looks");
--- a/crates/rollout/tests/step_model.rs
+++ b/crates/rollout/tests/step_model.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use havenstage_rollout::schedule::{Candidate, WaitingItem, choose};
+use havenstage_rollout::schedule::{Candidate, WaitingItem, choose_backend};
 use support::steps::{Choose, Engines, Model, Outcome};
 
 const SEEDS: [u64; 2] = [1, 2];
@@ -26,14 +26,14 @@
 }
 
 fn as_built(item: &WaitingItem, candidates: &[Candidate]) -> Option<usize> {
-    let chosen = choose(item, candidates)?;
+    let chosen = choose_backend(item, candidates)?;
     candidates.iter().position(|c| c.backend == chosen.backend)
 }
 
 /// The engine with the fewest expected tokens, whatever its speed.
 fn fewest_tokens(item: &WaitingItem, candidates: &[Candidate]) -> Option<usize> {
     best(item, candidates, |candidate| {
-        f64::from(candidate.memory.expected())
+        f64::from(candidate.memory.expected_tokens())
     })
 }
 
@@ -62,7 +62,7 @@
         .iter()
         .cloned()
         .map(|mut candidate| {
-            if candidate.memory.expected() > 6_000 {
+            if candidate.memory.expected_tokens() > 6_000 {
                 candidate.slots = candidate.slots.min(4);
             }
             candidate
--- a/crates/rollout/tests/support/mod.rs
+++ b/crates/rollout/tests/support/mod.rs
@@ -93,6 +93,6 @@
     Claim {
         rank,
         claimant: claimant.into(),
-        longest_wait_ms: 60_000,
+        max_wait_ms: 60_000,
     }
 }
--- a/crates/rollout/tests/support/steps.rs
+++ b/crates/rollout/tests/support/steps.rs
@@ -6,7 +6,7 @@
 use havenstage_rollout::expected_length::LengthHistory;
 use havenstage_rollout::ids::{BatchId, GroupId, ItemId, ModelName};
 use havenstage_rollout::residency::Residency;
-use havenstage_rollout::schedule::{Candidate, TokenMemory, WaitingItem, sort_waiting};
+use havenstage_rollout::schedule::{Candidate, TokenMemory, WaitingItem, sort_by_expected_end};
 
 use super::draws::Draws;
 use super::{backend, claim};
@@ -168,11 +168,11 @@
         WaitingItem {
             batch: BatchId::from(item.step.to_string()),
             item: ItemId::from(at.to_string()),
-            optional: false,
+            is_optional: false,
             claim: claim(0, "route"),
-            expected_tokens: self.history.remaining(item.guess, made),
+            expected_tokens: self.history.expected_remaining(item.guess, made),
             held_tokens: self.engines.prompt_tokens + made,
-            since: self.steps[item.step].from_ms as u64,
+            batch_first_seen: self.steps[item.step].from_ms as u64,
             model: Some(self.model_of(self.steps[item.step].trainer)),
             minimum_version: 0,
             exact_version: None,
@@ -191,12 +191,12 @@
             .into_iter()
             .filter(|at| self.items[*at].engine.is_none());
         let mut waiting: Vec<WaitingItem> = waiting.map(|at| self.waiting_item(at)).collect();
-        sort_waiting(&mut waiting, self.now_ms as u64, 0.7);
+        sort_by_expected_end(&mut waiting, self.now_ms as u64, 0.7);
         for item in waiting {
             let Some(engine) = choose(&item, &candidates) else {
                 continue;
             };
-            candidates[engine].take(&item);
+            candidates[engine].add_item(&item);
             let at: usize = item.item.as_str().parse().unwrap();
             self.items[at].engine = Some(engine);
         }
@@ -216,14 +216,14 @@
                     ..TokenMemory::default()
                 },
                 event_gap_ms: gap_ms * (1.0 + GAP_NOISE * self.draws.normal()),
-                on_trial: false,
+                is_half_open: false,
                 models: self.models_on(engine),
                 groups: HashSet::new(),
             });
         }
         for at in open {
             if let Some(engine) = self.items[*at].engine {
-                candidates[engine].take(&self.waiting_item(*at));
+                candidates[engine].add_item(&self.waiting_item(*at));
             }
         }
         candidates
@@ -268,7 +268,7 @@
                 if item.made >= item.events {
                     item.ended_at = Some(self.now_ms);
                     let made = item.events as u32 * TOKENS_PER_EVENT;
-                    self.history.finished(item.guess, made);
+                    self.history.record_finished(item.guess, made);
                 }
             }
         }
