--- a/crates/gateway/src/backends.rs
+++ b/crates/gateway/src/backends.rs
@@ -9,7 +9,7 @@
 
 use havenstage_http_link::{Link, LinkSettings};
 use havenstage_rollout::Millis;
-use havenstage_rollout::back_end_speed::{BackEndSpeed, KnownGap, SharedGap};
+use havenstage_rollout::back_end_speed::{BackEndSpeed, EqualGaps, GapEstimate};
 use havenstage_rollout::backend::{BackendChange, BackendList, BackendRecord};
 use havenstage_rollout::health::HealthBoard;
 use havenstage_rollout::ids::{
@@ -183,7 +183,7 @@
         if !inner.list.takes_requests(id) || inner.cold_allowance(id, sender, now) == Some(0) {
             return None;
         }
-        inner.slow_start.sent(id, now);
+        inner.slow_start.record_sent(id, now);
         drop(inner);
         self.take(id)
     }
@@ -223,7 +223,7 @@
     fn suspect_cold(&mut self, zone: &ZoneName, now: Millis) {
         for (id, record) in self.list.in_zone(zone) {
             if let Some(limit) = self.cold_limits.get(&record.pool) {
-                self.slow_start.suspected(id, limit, now);
+                self.slow_start.suspect_cold(id, limit, now);
             }
         }
     }
@@ -277,7 +277,7 @@
         if self.list.get(id).is_none() {
             return;
         }
-        self.slow_start.told(id, record.cold_left_ms, now);
+        self.slow_start.report_cold(id, record.cold_left_ms, now);
         let link = self.links.get(id);
         if link.is_some_and(|link| link.address() != record.address) {
             self.links.remove(id);
@@ -390,18 +390,21 @@
     }
 
     /// Events of a stream came so far apart.
-    pub fn saw_event_gap(&mut self, id: &BackendId, gap: SharedGap, now: Millis) {
-        self.speeds.entry(id.clone()).or_default().saw(gap, now);
+    pub fn saw_event_gap(&mut self, id: &BackendId, gap: EqualGaps, now: Millis) {
+        self.speeds
+            .entry(id.clone())
+            .or_default()
+            .record_gaps(gap, now);
     }
 
     /// Lasting time between two events of a stream, of the back ends of which this node knows it.
-    pub fn event_gaps(&self, now: Millis) -> impl Iterator<Item = (&BackendId, KnownGap)> {
+    pub fn event_gaps(&self, now: Millis) -> impl Iterator<Item = (&BackendId, GapEstimate)> {
         let speeds = self.speeds.iter();
-        speeds.filter_map(move |(id, speed)| Some((id, speed.known(now)?)))
+        speeds.filter_map(move |(id, speed)| Some((id, speed.estimate(now)?)))
     }
 
     /// Lasting time between two events of a stream, if this node knows it.
-    pub fn event_gap(&self, id: &BackendId, now: Millis) -> Option<KnownGap> {
-        self.speeds.get(id)?.known(now)
+    pub fn event_gap(&self, id: &BackendId, now: Millis) -> Option<GapEstimate> {
+        self.speeds.get(id)?.estimate(now)
     }
 }
--- a/crates/gateway/src/coordinator/demand.rs
+++ b/crates/gateway/src/coordinator/demand.rs
@@ -5,7 +5,7 @@
 use havenstage_rollout::Millis;
 use havenstage_rollout::ids::{ModelName, Version};
 use havenstage_rollout::order_plan::{
-    OrderTarget, PlannedOrder, VersionDemand, assign_homes, plan_orders,
+    OrderTarget, PlannedOrder, VersionDemand, assign_models, plan_orders,
 };
 use havenstage_rollout::route::Pool;
 
@@ -47,14 +47,14 @@
             .iter()
             .map(|(model, work)| (model.clone(), work.weight))
             .collect();
-        let homes = assign_homes(&targets, &weights, named);
+        let homes = assign_models(&targets, &weights, named);
         let demand = work.iter().filter_map(|(model, work)| {
             let named = *named.get(model)?;
             Some((
                 model.clone(),
                 VersionDemand {
                     named,
-                    allowed_age: work.allowed_age,
+                    max_versions_behind: work.allowed_age,
                     items: work.items,
                 },
             ))
@@ -121,8 +121,8 @@
                     .collect(),
                 running: running.get(id).copied().unwrap_or(0),
                 slots: record.slots,
-                loading: self.under_way.contains(id),
-                avoided: is_left_alone || !is_quiet,
+                is_loading: self.under_way.contains(id),
+                is_avoided: is_left_alone || !is_quiet,
             });
         }
         targets
--- a/crates/gateway/src/crash_guard.rs
+++ b/crates/gateway/src/crash_guard.rs
@@ -8,7 +8,7 @@
 
 use havenstage_rollout::Millis;
 use havenstage_rollout::control_record::ControlRecord;
-use havenstage_rollout::crash_ledger::{EndCompany, EndedBackend, Fingerprint, Suspicion};
+use havenstage_rollout::crash_ledger::{EndedBackend, Fingerprint, OtherRequestsAtEnd, Suspicion};
 use havenstage_rollout::ids::BackendId;
 use log::{info, warn};
 use tokio::sync::watch;
@@ -211,7 +211,7 @@
     let now = context.now();
     let mut control = context.control.lock();
     let crashes = control.state.crashes_mut();
-    crashes.came_again(request, now);
+    crashes.record_retry(request, now);
     let Suspicion::Barred { ended, age_ms } = crashes.suspicion(request, now) else {
         return;
     };
@@ -239,7 +239,7 @@
         .map(|request| BarredRequest {
             request,
             suspicion: crashes.suspicion(&request, now),
-            company: crashes.company(&request),
+            company: crashes.others_at_ends(&request),
         })
         .collect();
     let remembered = crashes.len();
@@ -257,13 +257,13 @@
 struct BarredRequest {
     request: Fingerprint,
     suspicion: Suspicion,
-    company: Vec<EndCompany>,
+    company: Vec<OtherRequestsAtEnd>,
 }
 
 /// For each end, how many other requests were there and the most ends that one of them has.
-fn describe_company(company: &[EndCompany]) -> String {
+fn describe_company(company: &[OtherRequestsAtEnd]) -> String {
     let described = company.iter().map(|end| {
-        let (backend, others, most_ends) = (&end.backend, end.others, end.most_ends);
+        let (backend, others, most_ends) = (&end.backend, end.others, end.max_ends);
         format!("{backend}: {others} others with {most_ends} ends at most")
     });
     described.collect::<Vec<String>>().join(", ")
@@ -310,7 +310,7 @@
     let now = context.now();
     let mut control = context.control.lock();
     let crashes = control.state.crashes_mut();
-    crashes.backend_ended(request, ended, now);
+    crashes.record_end(request, ended, now);
 }
 
 /// A back end answered a request, so that the back end lives. If it answered with success, the request can be run; any
@@ -333,7 +333,7 @@
     }
     let lives_after_all = {
         let mut control = context.control.lock();
-        control.state.crashes_mut().backend_lives(backend)
+        control.state.crashes_mut().retract_ends_at(backend)
     };
     if lives_after_all {
         warn!(event = "backend_lives_after_all", backend = backend.as_str(); "");
@@ -359,7 +359,7 @@
 fn clear(context: &Arc<Context>, backend: &BackendId, request: Fingerprint) {
     let is_cleared = {
         let mut control = context.control.lock();
-        control.state.crashes_mut().cleared(&request)
+        control.state.crashes_mut().clear(&request)
     };
     if is_cleared {
         info!(event = "request_cleared", content = request.to_string().as_str(),
@@ -377,7 +377,7 @@
 ) -> bool {
     let is_known = {
         let control = context.control.lock();
-        control.state.crashes().names(&request, &ended.backend)
+        control.state.crashes().has_end_at(&request, &ended.backend)
     };
     if is_known {
         return true;
--- a/crates/gateway/src/engine/barred.rs
+++ b/crates/gateway/src/engine/barred.rs
@@ -18,7 +18,13 @@
 impl Engine {
     /// Those of the waiting items that must not be run, or not yet.
     pub(super) fn barred_items(&mut self, waiting: &[WaitingItem]) -> HashSet<ItemKey> {
-        let may_bar = self.context.control.lock().state.crashes().may_bar();
+        let may_bar = self
+            .context
+            .control
+            .lock()
+            .state
+            .crashes()
+            .has_bar_candidates();
         if !may_bar && !self.context.crash_guard.keeps_back() {
             return HashSet::new();
         }
--- a/crates/gateway/src/engine/run.rs
+++ b/crates/gateway/src/engine/run.rs
@@ -375,7 +375,7 @@
             }
             let gap_ms = last_event.elapsed().as_secs_f64() * 1_000.0;
             last_event = Instant::now();
-            if let Some(gap) = gaps.saw(gap_ms) {
+            if let Some(gap) = gaps.record_event(gap_ms) {
                 let now = context.now();
                 let mut backends = context.backends.lock();
                 backends.saw_event_gap(&backend.id, gap, now);
--- a/crates/gateway/src/metering/counter.rs
+++ b/crates/gateway/src/metering/counter.rs
@@ -33,13 +33,14 @@
         let Some(window_ms) = self.window_ms else {
             return;
         };
-        self.lock().began(tenant, usage::window_at(at, window_ms));
+        self.lock()
+            .count_request(tenant, usage::window_at(at, window_ms));
         self.grown.notify_one();
     }
 
     /// Whether the log holds all that was counted.
     pub fn is_written(&self, node: &NodeId) -> bool {
-        self.lock().unwritten(node).is_empty()
+        self.lock().unwritten_records(node).is_empty()
     }
 
     /// Waits until something was counted.
@@ -49,13 +50,13 @@
 
     /// What the log doesn't hold.
     pub(crate) fn unwritten(&self, node: &NodeId) -> Vec<UsageRecord> {
-        self.lock().unwritten(node)
+        self.lock().unwritten_records(node)
     }
 
     /// These records stand in the log at a time of day.
     pub(crate) fn written(&self, records: &[UsageRecord], at: UnixMillis) {
         let mut meter = self.lock();
-        meter.written(records);
+        meter.mark_written(records);
         let window: UsageWindow = usage::window_at(at, self.window_ms.unwrap_or(1));
         meter.forget_before(window.saturating_sub(KEPT_WINDOWS));
     }
--- a/crates/gateway/src/metering/reporter.rs
+++ b/crates/gateway/src/metering/reporter.rs
@@ -113,7 +113,7 @@
 
     fn ledger_entry(&self) -> Option<DecidedUsage> {
         let control = self.context.control.lock();
-        control.state.usage().to_report().cloned()
+        control.state.usage().oldest_unsettled().cloned()
     }
 
     /// Decides the next window if it is due.
--- a/crates/gateway/src/sizing.rs
+++ b/crates/gateway/src/sizing.rs
@@ -75,7 +75,7 @@
             let load = self.load(&table, pool, scaling, now);
             let ordered = self.ordered(&pool.name);
             let sizer = self.sizers.entry(pool.name.clone()).or_default();
-            sizer.saw(&load.ready);
+            sizer.observe_ready(&load.ready);
             let planned = match self.context.lease_grant() {
                 Some(_) => sizer.plan(scaling, &ordered, &load, now),
                 None => None,
@@ -123,16 +123,16 @@
         let zones = scaling.zone_prices.keys();
         let mut load = PoolLoad {
             ready: zones.map(|zone| (zone.clone(), 0)).collect(),
-            places: 0,
-            taken: 0,
+            slots: 0,
+            running_items: 0,
             is_behind,
         };
         for (id, record) in backends.list.serving_in(&pool.name) {
             if let Some(count) = load.ready.get_mut(record.zone.as_str()) {
                 *count += 1;
             }
-            load.places += record.slots;
-            load.taken += running.get(id).copied().unwrap_or(0).min(record.slots);
+            load.slots += record.slots;
+            load.running_items += running.get(id).copied().unwrap_or(0).min(record.slots);
         }
         load
     }
--- a/crates/gateway/tests/sizing.rs
+++ b/crates/gateway/tests/sizing.rs
@@ -34,8 +34,8 @@
     }
     for pool in &mut config.pools {
         pool.scaling = (pool.name.as_str() == ENGINES).then(|| PoolScaling {
-            smallest: 1,
-            largest: 9,
+            min_backends: 1,
+            max_backends: 9,
             boot_ms: 60_000,
             zone_prices: [(ZoneName::from("zone"), 1.0)].into(),
         });
--- a/crates/rollout/src/back_end_speed.rs
+++ b/crates/rollout/src/back_end_speed.rs
@@ -56,7 +56,7 @@
 
 /// Gaps that are alike.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct SharedGap {
+pub struct EqualGaps {
     /// Length of each.
     pub gap_ms: f64,
     /// How many.
@@ -66,13 +66,13 @@
 impl StreamGaps {
     /// An event came so long after the one before it. Answers the gaps of the events before, once it is known that
     /// none was read together with them.
-    pub fn saw(&mut self, gap_ms: f64) -> Option<SharedGap> {
+    pub fn record_event(&mut self, gap_ms: f64) -> Option<EqualGaps> {
         if gap_ms < READ_TOGETHER_MS && self.events > 0 {
             self.shared_ms += gap_ms;
             self.events += 1;
             return None;
         }
-        let before = (self.events > 0).then(|| SharedGap {
+        let before = (self.events > 0).then(|| EqualGaps {
             gap_ms: self.shared_ms / f64::from(self.events),
             count: self.events,
         });
@@ -84,7 +84,7 @@
 
 impl BackEndSpeed {
     /// Events of a stream came so far apart.
-    pub fn saw(&mut self, gap: SharedGap, now: Millis) {
+    pub fn record_gaps(&mut self, gap: EqualGaps, now: Millis) {
         if now.saturating_sub(self.window.began) >= WINDOW_MS {
             self.close_window();
             self.window.began = now;
@@ -97,7 +97,7 @@
     }
 
     /// What a gap lasts in general; `None` if that is not known, or not any more.
-    pub fn lasting_ms(&self, now: Millis) -> Option<f64> {
+    pub fn typical_gap_ms(&self, now: Millis) -> Option<f64> {
         let is_known = self.medians_ms.len() >= LEAST_WINDOWS;
         if !is_known || now.saturating_sub(self.seen) > VALID_MS {
             return None;
@@ -106,9 +106,9 @@
     }
 
     /// The same with its age.
-    pub fn known(&self, now: Millis) -> Option<KnownGap> {
-        let gap_ms = self.lasting_ms(now)?;
-        Some(KnownGap {
+    pub fn estimate(&self, now: Millis) -> Option<GapEstimate> {
+        let gap_ms = self.typical_gap_ms(now)?;
+        Some(GapEstimate {
             gap_ms,
             age_ms: now.saturating_sub(self.seen),
         })
@@ -130,26 +130,26 @@
 
     fn has_changed(&self) -> bool {
         let before = self.medians_ms.len().saturating_sub(WINDOWS_OF_CHANGE);
-        let lasting_ms = median(self.medians_ms.iter().take(before).copied().collect());
-        let Some(lasting_ms) = lasting_ms else {
+        let typical_gap_ms = median(self.medians_ms.iter().take(before).copied().collect());
+        let Some(typical_gap_ms) = typical_gap_ms else {
             return false;
         };
         let newest = || self.medians_ms.iter().skip(before);
-        newest().all(|gap_ms| *gap_ms > lasting_ms * RATIO_OF_CHANGE)
-            || newest().all(|gap_ms| *gap_ms * RATIO_OF_CHANGE < lasting_ms)
+        newest().all(|gap_ms| *gap_ms > typical_gap_ms * RATIO_OF_CHANGE)
+            || newest().all(|gap_ms| *gap_ms * RATIO_OF_CHANGE < typical_gap_ms)
     }
 }
 
 /// What one node knows of a back end's lasting gap.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct KnownGap {
+pub struct GapEstimate {
     /// The gap.
     pub gap_ms: f64,
     /// Time since that node saw an event there.
     pub age_ms: Millis,
 }
 
-impl KnownGap {
+impl GapEstimate {
     /// Whether it goes before what others tell.
     pub fn is_fresh(&self) -> bool {
         self.age_ms < FRESH_MS
@@ -158,8 +158,8 @@
 
 /// The gap that an item is to expect at a back end: as this node knows it; where it has seen nothing there lately, as
 /// others tell; else as this node knew it, or as it is usual.
-pub fn expected_gap_ms(own: Option<KnownGap>, told_ms: Option<f64>, usual_ms: f64) -> f64 {
-    let fresh = own.filter(KnownGap::is_fresh);
+pub fn expected_gap_ms(own: Option<GapEstimate>, told_ms: Option<f64>, usual_ms: f64) -> f64 {
+    let fresh = own.filter(GapEstimate::is_fresh);
     let own_ms = own.map(|known| known.gap_ms);
     let fresh_ms = fresh.map(|known| known.gap_ms);
     fresh_ms.or(told_ms).or(own_ms).unwrap_or(usual_ms)
--- a/crates/rollout/src/control.rs
+++ b/crates/rollout/src/control.rs
@@ -237,13 +237,13 @@
                 self.pending.remove(&backend);
             }
             ControlRecord::BackendEnded { request, ended } => {
-                self.crashes.backend_ended(request, ended, now);
+                self.crashes.record_end(request, ended, now);
             }
             ControlRecord::RequestCleared { request } => {
-                self.crashes.cleared(&request);
+                self.crashes.clear(&request);
             }
             ControlRecord::BackendLives { backend } => {
-                self.crashes.backend_lives(&backend);
+                self.crashes.retract_ends_at(&backend);
             }
             ControlRecord::UsageDecided { window, counts } => self.usage.decide(window, counts),
             ControlRecord::SizeOrdered { pool, zone, size } => {
--- a/crates/rollout/src/crash_ledger/blame.rs
+++ b/crates/rollout/src/crash_ledger/blame.rs
@@ -44,7 +44,7 @@
     /// All requests that are the cause of their ends. Judged anew only if something was told or a moment has passed that
     /// counts: this is asked before each send of a suspected request.
     pub(super) fn all_culprits(&self, now: Millis) -> Arc<BTreeSet<Fingerprint>> {
-        if !self.may_bar() {
+        if !self.has_bar_candidates() {
             return Arc::default();
         }
         let mut verdict = self.verdict.borrow_mut();
--- a/crates/rollout/src/crash_ledger/mod.rs
+++ b/crates/rollout/src/crash_ledger/mod.rs
@@ -84,13 +84,13 @@
 
 /// Other requests that were there when a back end ended under one.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct EndCompany {
+pub struct OtherRequestsAtEnd {
     /// The back end.
     pub backend: BackendId,
     /// How many there were.
     pub others: usize,
     /// The most ends that one of them has, here and elsewhere; 0 without any.
-    pub most_ends: usize,
+    pub max_ends: usize,
 }
 
 /// What a checkpoint keeps of a request.
@@ -154,13 +154,16 @@
 }
 
 impl Suspect {
-    fn names(&self, backend: &BackendId) -> bool {
+    fn has_end_at(&self, backend: &BackendId) -> bool {
         self.ended.iter().any(|ended| ended.backend == *backend)
     }
 
     /// Whether it was there at all ends of another one.
     fn shares_all_of(&self, other: &Self) -> bool {
-        other.ended.iter().all(|ended| self.names(&ended.backend))
+        other
+            .ended
+            .iter()
+            .all(|ended| self.has_end_at(&ended.backend))
     }
 }
 
@@ -197,7 +200,7 @@
         let mut ledger = Self::new(own_machine);
         for request in kept {
             for ended in request.ended {
-                ledger.backend_ended(request.request, ended, now);
+                ledger.record_end(request.request, ended, now);
             }
         }
         ledger
@@ -232,7 +235,7 @@
     }
 
     /// A back end ended while it ran a request. Told twice it counts once.
-    pub fn backend_ended(&mut self, request: Fingerprint, ended: EndedBackend, now: Millis) {
+    pub fn record_end(&mut self, request: Fingerprint, ended: EndedBackend, now: Millis) {
         if !self.suspects.contains_key(&request) && self.suspects.len() >= MOST_REQUESTS {
             self.evict_one(now);
         }
@@ -243,7 +246,7 @@
             told_order: 0,
             last_news: now,
         });
-        if suspect.names(&ended.backend) || suspect.ended.len() >= MOST_BACKENDS {
+        if suspect.has_end_at(&ended.backend) || suspect.ended.len() >= MOST_BACKENDS {
             return;
         }
         self.verdict.take();
@@ -261,14 +264,14 @@
     }
 
     /// A back end answered a request, so that it can be run; answers whether anything was known against it.
-    pub fn cleared(&mut self, request: &Fingerprint) -> bool {
+    pub fn clear(&mut self, request: &Fingerprint) -> bool {
         let was_known = self.forget(request);
         self.forgotten.cleared += u64::from(was_known);
         was_known
     }
 
     /// A back end that was taken for ended lives; answers whether any request was suspected for it.
-    pub fn backend_lives(&mut self, backend: &BackendId) -> bool {
+    pub fn retract_ends_at(&mut self, backend: &BackendId) -> bool {
         let Some(running) = self.running_at.remove(backend) else {
             return false;
         };
@@ -286,9 +289,9 @@
     }
 
     /// Whether it is known that a back end ended under a request.
-    pub fn names(&self, request: &Fingerprint, backend: &BackendId) -> bool {
+    pub fn has_end_at(&self, request: &Fingerprint, backend: &BackendId) -> bool {
         let suspect = self.suspects.get(request);
-        suspect.is_some_and(|suspect| suspect.names(backend))
+        suspect.is_some_and(|suspect| suspect.has_end_at(backend))
     }
 
     /// Time since the last end of a request that a back end is held to have ended under; `None` if it is not.
@@ -323,37 +326,37 @@
     }
 
     /// Who else was there at each end of a request, which tells whether it was barred rightly.
-    pub fn company(&self, request: &Fingerprint) -> Vec<EndCompany> {
+    pub fn others_at_ends(&self, request: &Fingerprint) -> Vec<OtherRequestsAtEnd> {
         let suspect = self.suspects.get(request);
         let ended = suspect.into_iter().flat_map(|suspect| &suspect.ended);
         let company = ended.map(|ended| {
             let others = self.others_at(&ended.backend, request);
             let ends: Vec<usize> = others.map(|other| other.ended.len()).collect();
-            EndCompany {
+            OtherRequestsAtEnd {
                 backend: ended.backend.clone(),
                 others: ends.len(),
-                most_ends: ends.into_iter().max().unwrap_or(0),
+                max_ends: ends.into_iter().max().unwrap_or(0),
             }
         });
         company.collect()
     }
 
     /// A request that is known came again: it is not forgotten yet.
-    pub fn came_again(&mut self, request: &Fingerprint, now: Millis) {
+    pub fn record_retry(&mut self, request: &Fingerprint, now: Millis) {
         if let Some(suspect) = self.suspects.get_mut(request) {
             suspect.last_news = now;
         }
     }
 
     /// Whether any request may be barred: back ends enough have ended under it.
-    pub fn may_bar(&self) -> bool {
+    pub fn has_bar_candidates(&self) -> bool {
         let mut suspects = self.suspects.values();
         suspects.any(|suspect| suspect.ended.len() >= BAR_AFTER_ENDS)
     }
 
     /// Requests that were barred since the last call, by what was told or as time passed.
     pub fn take_newly_barred(&mut self, now: Millis) -> Vec<Fingerprint> {
-        if !self.may_bar() {
+        if !self.has_bar_candidates() {
             return Vec::new();
         }
         let culprits = self.all_culprits(now);
--- a/crates/rollout/src/order_plan.rs
+++ b/crates/rollout/src/order_plan.rs
@@ -16,9 +16,9 @@
     /// Items it runs at a time.
     pub slots: u32,
     /// Whether an order is under way there.
-    pub loading: bool,
+    pub is_loading: bool,
     /// Whether it is avoided after failures.
-    pub avoided: bool,
+    pub is_avoided: bool,
 }
 
 /// An order to be given.
@@ -38,12 +38,12 @@
     /// The newest named version.
     pub named: Version,
     /// How many versions behind the newest one the work at hand may be.
-    pub allowed_age: u64,
+    pub max_versions_behind: u64,
     /// Items of the newest batch: back ends beyond those that hold them all at once are left alone.
     pub items: u32,
 }
 
-/// The next orders: at most `at_once` loads are under way together.
+/// The next orders: at most `max_concurrent` loads are under way together.
 ///
 /// Back ends that are too old for the work at hand come first: they run nothing anyway. Of the
 /// others only so many load that the next version finds a share of them new enough; where the work
@@ -53,9 +53,9 @@
     targets: &[OrderTarget],
     demand: &BTreeMap<ModelName, VersionDemand>,
     homes: &BTreeMap<BackendId, ModelName>,
-    at_once: usize,
+    max_concurrent: usize,
 ) -> Vec<PlannedOrder> {
-    let loading = targets.iter().filter(|target| target.loading).count();
+    let loading = targets.iter().filter(|target| target.is_loading).count();
     let mut wanted = Vec::new();
     for (model, demand) in demand {
         let at_home: Vec<&OrderTarget> = targets
@@ -66,7 +66,7 @@
         wanted.extend(wanted_loads(&kept, model, *demand));
     }
     wanted.sort_by_key(|load| (!load.is_too_old, load.running));
-    let free = at_once.saturating_sub(loading);
+    let free = max_concurrent.saturating_sub(loading);
     wanted
         .into_iter()
         .map(|load| load.order)
@@ -84,7 +84,7 @@
 ) -> Vec<&'a OrderTarget> {
     at_home.sort_by_key(|target| {
         let version = target.models.get(model).copied().unwrap_or(0);
-        let cannot_load = target.avoided && version < demand.named;
+        let cannot_load = target.is_avoided && version < demand.named;
         let behind = demand.named.saturating_sub(version);
         (cannot_load, behind, target.backend.clone())
     });
@@ -111,15 +111,17 @@
     demand: VersionDemand,
 ) -> Vec<WantedLoad> {
     let has = |target: &OrderTarget| target.models.get(model).copied().unwrap_or(0);
-    let oldest = demand.named.saturating_sub(demand.allowed_age);
-    let share = at_home.len().div_ceil(demand.allowed_age as usize + 1);
+    let oldest = demand.named.saturating_sub(demand.max_versions_behind);
+    let share = at_home
+        .len()
+        .div_ceil(demand.max_versions_behind as usize + 1);
     let current = at_home
         .iter()
-        .filter(|t| t.loading || has(t) >= demand.named)
+        .filter(|t| t.is_loading || has(t) >= demand.named)
         .count();
     let mut behind: Vec<&&OrderTarget> = at_home
         .iter()
-        .filter(|t| !t.loading && !t.avoided && has(t) < demand.named)
+        .filter(|t| !t.is_loading && !t.is_avoided && has(t) < demand.named)
         .collect();
     behind.sort_by_key(|target| (has(target) >= oldest, target.running, has(target)));
     let missing = share.saturating_sub(current);
@@ -142,7 +144,7 @@
 
 /// Which model each back end is kept up to date for. Back ends keep the model they have the newest
 /// version of; each model gets a share of back ends by its weight, at least one.
-pub fn assign_homes(
+pub fn assign_models(
     targets: &[OrderTarget],
     weights: &BTreeMap<ModelName, f64>,
     named: &BTreeMap<ModelName, Version>,
--- a/crates/rollout/src/sizing.rs
+++ b/crates/rollout/src/sizing.rs
@@ -1,7 +1,7 @@
 //! How many back ends of a pool are ordered in each zone, where the platform starts and stops them on demand.
 //!
-//! A pool grows when its places are all taken for a while and a batch is about to be late: work then waits for
-//! places that it needs now. Places that are all taken say nothing alone, as every step of a trainer begins with
+//! A pool grows when its slots are all running_items for a while and a batch is about to be late: work then waits for
+//! slots that it needs now. Places that are all running_items say nothing alone, as every step of a trainer begins with
 //! a burst that takes them.
 
 use std::collections::BTreeMap;
@@ -13,9 +13,9 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct PoolScaling {
     /// Fewest back ends in a zone.
-    pub smallest: u32,
+    pub min_backends: u32,
     /// Most back ends in a zone.
-    pub largest: u32,
+    pub max_backends: u32,
     /// Milliseconds from an order until a new back end serves.
     pub boot_ms: Millis,
     /// What a second of a back end costs in each zone, relative to others.
@@ -31,14 +31,14 @@
     /// Back ends that take work, by zone.
     pub ready: ZoneSizes,
     /// Places of all of them.
-    pub places: u32,
+    pub slots: u32,
     /// Items that run there.
-    pub taken: u32,
+    pub running_items: u32,
     /// Whether an open batch has used up most of the time within which it is due.
     pub is_behind: bool,
 }
 
-/// Share of the places that are taken from which on work is taken to wait: places fall free and are taken again
+/// Share of the slots that are running_items from which on work is running_items to wait: slots fall free and are running_items again
 /// all the time.
 const FULL_SHARE: f64 = 0.9;
 /// Time for which a pool must be full to grow: a burst that ends sooner is over before new back ends serve.
@@ -58,7 +58,7 @@
 impl PoolSizer {
     /// So many back ends take work now. Those that are missing for a moment (ended, or not listed) must not be ordered
     /// away: a size is that of a whole zone.
-    pub fn saw(&mut self, ready: &ZoneSizes) {
+    pub fn observe_ready(&mut self, ready: &ZoneSizes) {
         raise_to(&mut self.most_seen, ready);
     }
 
@@ -70,8 +70,8 @@
         load: &PoolLoad,
         now: Millis,
     ) -> Option<ZoneSizes> {
-        let is_full = f64::from(load.taken) >= f64::from(load.places) * FULL_SHARE;
-        if !(is_full && load.is_behind) || load.places == 0 {
+        let is_full = f64::from(load.running_items) >= f64::from(load.slots) * FULL_SHARE;
+        if !(is_full && load.is_behind) || load.slots == 0 {
             self.full_since = None;
             return None;
         }
@@ -111,8 +111,8 @@
     let mut sizes = ordered.clone();
     for (zone, _) in zones {
         let size = sizes.entry(zone.clone()).or_default();
-        let added = missing.min(scaling.largest.saturating_sub(*size));
-        *size = (*size + added).max(scaling.smallest);
+        let added = missing.min(scaling.max_backends.saturating_sub(*size));
+        *size = (*size + added).max(scaling.min_backends);
         missing -= added;
     }
     sizes
--- a/crates/rollout/src/slow_start.rs
+++ b/crates/rollout/src/slow_start.rs
@@ -104,7 +104,7 @@
 impl SlowStart {
     /// A back end says for how long it is cold. That it is warm may be an older word than what made it a suspect,
     /// so this never ends slow start early.
-    pub fn told(&mut self, backend: &BackendId, cold_left_ms: Millis, now: Millis) {
+    pub fn report_cold(&mut self, backend: &BackendId, cold_left_ms: Millis, now: Millis) {
         if cold_left_ms > 0 {
             let cold = self.cold.entry(backend.clone()).or_default();
             cold.until = cold.until.max(now + cold_left_ms);
@@ -112,7 +112,7 @@
     }
 
     /// A back end may have become cold without a word.
-    pub fn suspected(&mut self, backend: &BackendId, limit: &ColdLimit, now: Millis) {
+    pub fn suspect_cold(&mut self, backend: &BackendId, limit: &ColdLimit, now: Millis) {
         let cold = self.cold.entry(backend.clone()).or_default();
         cold.until = cold.until.max(now + limit.duration_ms);
     }
@@ -138,7 +138,7 @@
     }
 
     /// A request is sent.
-    pub fn sent(&mut self, backend: &BackendId, now: Millis) {
+    pub fn record_sent(&mut self, backend: &BackendId, now: Millis) {
         let Some(cold) = self.cold.get_mut(backend) else {
             return;
         };
--- a/crates/rollout/src/usage.rs
+++ b/crates/rollout/src/usage.rs
@@ -57,14 +57,14 @@
 
 impl UsageMeter {
     /// A back end began a request of a tenant.
-    pub fn began(&mut self, tenant: &TenantName, window: UsageWindow) {
+    pub fn count_request(&mut self, tenant: &TenantName, window: UsageWindow) {
         let metered = self.windows.entry(window).or_default();
         *metered.counts.entry(tenant.clone()).or_default() += 1;
         metered.total += 1;
     }
 
     /// Records of all windows of which the log doesn't hold everything.
-    pub fn unwritten(&self, node: &NodeId) -> Vec<UsageRecord> {
+    pub fn unwritten_records(&self, node: &NodeId) -> Vec<UsageRecord> {
         let windows = self.windows.iter();
         let unwritten = windows.filter(|(_, metered)| metered.written < metered.total);
         unwritten
@@ -77,7 +77,7 @@
     }
 
     /// These records stand in the log.
-    pub fn written(&mut self, records: &[UsageRecord]) {
+    pub fn mark_written(&mut self, records: &[UsageRecord]) {
         for record in records {
             if let Some(metered) = self.windows.get_mut(&record.window) {
                 let total = record.counts.values().sum();
@@ -185,7 +185,7 @@
     }
 
     /// The oldest window that is still to be reported.
-    pub fn to_report(&self) -> Option<&DecidedUsage> {
+    pub fn oldest_unsettled(&self) -> Option<&DecidedUsage> {
         self.decided.iter().find(|decided| !decided.is_settled)
     }
 }
--- a/crates/rollout/tests/back_end_speed.rs
+++ b/crates/rollout/tests/back_end_speed.rs
@@ -2,7 +2,7 @@
 
 use havenstage_rollout::Millis;
 use havenstage_rollout::back_end_speed::{
-    BackEndSpeed, KnownGap, SharedGap, StreamGaps, expected_gap_ms,
+    BackEndSpeed, EqualGaps, GapEstimate, StreamGaps, expected_gap_ms,
 };
 
 /// Gap between two events of an idle engine of the usual kind.
@@ -19,19 +19,19 @@
 /// Streams of a node at one engine.
 const STREAMS: usize = 4;
 
-fn one(gap_ms: f64) -> SharedGap {
-    SharedGap { gap_ms, count: 1 }
+fn one(gap_ms: f64) -> EqualGaps {
+    EqualGaps { gap_ms, count: 1 }
 }
 
 /// Two exponential averages, the slow of which is what lasts: the other way that was weighed.
 struct TwoAverages {
-    lasting_ms: Option<f64>,
+    typical_gap_ms: Option<f64>,
 }
 
 impl TwoAverages {
-    fn saw(&mut self, gap_ms: f64) {
-        let mean_ms = self.lasting_ms.unwrap_or(gap_ms);
-        self.lasting_ms = Some(mean_ms + 0.005 * (gap_ms - mean_ms));
+    fn record_gap(&mut self, gap_ms: f64) {
+        let mean_ms = self.typical_gap_ms.unwrap_or(gap_ms);
+        self.typical_gap_ms = Some(mean_ms + 0.005 * (gap_ms - mean_ms));
     }
 }
 
@@ -47,7 +47,9 @@
     fn start(seed: u64) -> Self {
         Self {
             speed: BackEndSpeed::default(),
-            averages: TwoAverages { lasting_ms: None },
+            averages: TwoAverages {
+                typical_gap_ms: None,
+            },
             now: 1_000,
             spell_ends: 0,
             draws: seed,
@@ -76,8 +78,8 @@
             let gap_ms = USUAL_GAP_MS * factor * spell * noise + prompt_ms + load_ms;
             self.now += gap_ms as Millis;
             for _ in 0..STREAMS {
-                self.speed.saw(one(gap_ms), self.now);
-                self.averages.saw(gap_ms);
+                self.speed.record_gaps(one(gap_ms), self.now);
+                self.averages.record_gap(gap_ms);
             }
             if self.draw() < gap_ms / SPELL_EVERY_MS {
                 self.spell_ends = self.now + SPELL_MS;
@@ -85,8 +87,8 @@
         }
     }
 
-    fn lasting_ms(&self) -> f64 {
-        self.speed.lasting_ms(self.now).unwrap()
+    fn typical_gap_ms(&self) -> f64 {
+        self.speed.typical_gap_ms(self.now).unwrap()
     }
 }
 
@@ -101,8 +103,8 @@
             replay.stream(1_000, factor);
             let off = |gap_ms: f64| (gap_ms / (USUAL_GAP_MS * factor) - 1.0).abs();
             looks += 1;
-            far_off += usize::from(off(replay.lasting_ms()) > 0.2);
-            let average_ms = replay.averages.lasting_ms.unwrap();
+            far_off += usize::from(off(replay.typical_gap_ms()) > 0.2);
+            let average_ms = replay.averages.typical_gap_ms.unwrap();
             far_off_of_averages += usize::from(off(average_ms) > 0.2);
         }
     }
@@ -116,7 +118,7 @@
         let mut replay = Replay::start(7);
         replay.stream(30_000, from);
         replay.stream(2_000, to);
-        let ratio = replay.lasting_ms() / (USUAL_GAP_MS * to);
+        let ratio = replay.typical_gap_ms() / (USUAL_GAP_MS * to);
         assert!((0.8..1.25).contains(&ratio), "{from} to {to}: {ratio}");
     }
 }
@@ -125,12 +127,12 @@
 fn one_spell_does_not_change_what_lasts() {
     let mut speed = BackEndSpeed::default();
     for at in 0..200 {
-        speed.saw(one(40.0), 40 * at);
+        speed.record_gaps(one(40.0), 40 * at);
     }
     for at in 0..6 {
-        speed.saw(one(100.0), 8_000 + 100 * at);
+        speed.record_gaps(one(100.0), 8_000 + 100 * at);
     }
-    assert_eq!(speed.lasting_ms(8_600), Some(40.0));
+    assert_eq!(speed.typical_gap_ms(8_600), Some(40.0));
 }
 
 #[test]
@@ -140,9 +142,9 @@
     for at in 0..200 {
         let gap_ms = if at % 40 == 0 { 400 } else { 40 };
         now += gap_ms;
-        speed.saw(one(gap_ms as f64), now);
+        speed.record_gaps(one(gap_ms as f64), now);
     }
-    assert_eq!(speed.lasting_ms(now), Some(40.0));
+    assert_eq!(speed.typical_gap_ms(now), Some(40.0));
 }
 
 /// What happened: a node stood still for 1.5 s, took the events that it then read at once for those of an engine
@@ -150,16 +152,16 @@
 #[test]
 fn events_that_are_read_together_share_the_time_since_the_one_before() {
     let mut stream = StreamGaps::default();
-    assert_eq!(stream.saw(50.0), None);
-    assert_eq!(stream.saw(1_500.0), Some(one(50.0)));
+    assert_eq!(stream.record_event(50.0), None);
+    assert_eq!(stream.record_event(1_500.0), Some(one(50.0)));
     for _ in 0..29 {
-        assert_eq!(stream.saw(0.0), None);
+        assert_eq!(stream.record_event(0.0), None);
     }
-    let alike = SharedGap {
+    let alike = EqualGaps {
         gap_ms: 50.0,
         count: 30,
     };
-    assert_eq!(stream.saw(50.0), Some(alike));
+    assert_eq!(stream.record_event(50.0), Some(alike));
 }
 
 /// The same, on a machine so busy that what came meanwhile is read in some parts.
@@ -167,14 +169,14 @@
 fn what_is_read_late_in_parts_does_not_make_a_back_end_quick() {
     let mut speed = BackEndSpeed::default();
     for at in 1..=100 {
-        speed.saw(one(50.0), 50 * at);
+        speed.record_gaps(one(50.0), 50 * at);
     }
     for at in 0..60 {
-        speed.saw(one(4.0), 6_500 + 4 * at);
+        speed.record_gaps(one(4.0), 6_500 + 4 * at);
     }
     for at in 1..=30 {
-        speed.saw(one(50.0), 6_740 + 50 * at);
-        assert_eq!(speed.lasting_ms(6_740 + 50 * at), Some(50.0));
+        speed.record_gaps(one(50.0), 6_740 + 50 * at);
+        assert_eq!(speed.typical_gap_ms(6_740 + 50 * at), Some(50.0));
     }
 }
 
@@ -183,31 +185,31 @@
 fn nothing_is_told_from_too_few_windows() {
     let mut speed = BackEndSpeed::default();
     for at in 0..11 {
-        speed.saw(one(50.0), 1_000 + 50 * at);
+        speed.record_gaps(one(50.0), 1_000 + 50 * at);
     }
-    assert_eq!(speed.lasting_ms(1_500), None);
-    speed.saw(one(1_200.0), 2_700);
+    assert_eq!(speed.typical_gap_ms(1_500), None);
+    speed.record_gaps(one(1_200.0), 2_700);
     for at in 1..24 {
-        speed.saw(one(50.0), 2_700 + 50 * at);
+        speed.record_gaps(one(50.0), 2_700 + 50 * at);
     }
-    assert_eq!(speed.lasting_ms(3_850), Some(50.0));
+    assert_eq!(speed.typical_gap_ms(3_850), Some(50.0));
 }
 
 #[test]
 fn what_was_seen_long_ago_says_nothing() {
     let mut speed = BackEndSpeed::default();
     for at in 0..100 {
-        speed.saw(one(120.0), 120 * at);
+        speed.record_gaps(one(120.0), 120 * at);
     }
-    assert_eq!(speed.lasting_ms(250_000), Some(120.0));
-    assert_eq!(speed.lasting_ms(320_000), None);
+    assert_eq!(speed.typical_gap_ms(250_000), Some(120.0));
+    assert_eq!(speed.typical_gap_ms(320_000), None);
 }
 
 /// A node that has not seen an engine lately goes by what others tell of it.
 #[test]
 fn what_others_tell_counts_where_this_node_has_seen_nothing_lately() {
     let own = |age_ms| {
-        Some(KnownGap {
+        Some(GapEstimate {
             gap_ms: 40.0,
             age_ms,
         })
--- a/crates/rollout/tests/crash_ledger.rs
+++ b/crates/rollout/tests/crash_ledger.rs
@@ -36,7 +36,7 @@
 /// A back end ends while it runs all of these.
 fn end(ledger: &mut CrashLedger, backend: &str, running: &[u128]) {
     for number in running {
-        ledger.backend_ended(request(*number), ended(backend, "a"), 1_000);
+        ledger.record_end(request(*number), ended(backend, "a"), 1_000);
     }
 }
 
@@ -54,7 +54,7 @@
 fn a_request_is_barred_with_the_third_end_and_each_end_counts_once() {
     let mut ledger = ledger();
     for seen_by in ["a", "b", "c", "d"] {
-        ledger.backend_ended(request(HARMFUL), ended("x", seen_by), 5);
+        ledger.record_end(request(HARMFUL), ended("x", seen_by), 5);
     }
     let suspicion = ledger.suspicion(&request(HARMFUL), 5);
     let runs_left = BAR_AFTER_ENDS - 1;
@@ -139,10 +139,10 @@
         let mut ledger = ledger_of(machine);
         for (backend, seen_by) in [("x", "b"), ("y", "a"), ("z", "a")] {
             let end = ended(backend, seen_by);
-            ledger.backend_ended(request(2), end.clone(), 1_000);
-            ledger.backend_ended(request(HARMFUL), end, 1_000);
+            ledger.record_end(request(2), end.clone(), 1_000);
+            ledger.record_end(request(HARMFUL), end, 1_000);
         }
-        ledger.backend_ended(request(HARMFUL), ended("v", "a"), 1_000);
+        ledger.record_end(request(HARMFUL), ended("v", "a"), 1_000);
         let runs_left = |now| match ledger.suspicion(&request(2), now) {
             Suspicion::Suspected { runs_left, .. } => runs_left,
             _ => 0,
@@ -185,7 +185,7 @@
     end(&mut ledger, "z", &[first, 8]);
     assert!(is_barred(&ledger, first) || is_settling(&ledger, first, 1_000));
     let mut at = |backend: &str, number, now| {
-        ledger.backend_ended(request(number), ended(backend, "a"), now);
+        ledger.record_end(request(number), ended(backend, "a"), now);
     };
     at("u", second, 2_000);
     at("u", 9, 2_000);
@@ -199,7 +199,7 @@
     ));
     for now in [2_050, 2_100, 2_050 + SETTLING_MS, 60_000] {
         if now == 2_100 {
-            ledger.backend_ended(request(second), ended("w", "b"), now);
+            ledger.record_end(request(second), ended("w", "b"), now);
         }
         let suspicion = ledger.suspicion(&request(honest), now);
         let is_barred = matches!(suspicion, Suspicion::Barred { .. });
@@ -244,7 +244,7 @@
     let mut ledger = ledger();
     let mut at = |now, backend: &str, running: &[u128]| {
         for number in running {
-            ledger.backend_ended(request(*number), ended(backend, "a"), now);
+            ledger.record_end(request(*number), ended(backend, "a"), now);
         }
     };
     at(1_000, "p", &[first, 7]);
@@ -259,7 +259,7 @@
     }
     let next_run = 60_000;
     for number in [second, 13] {
-        ledger.backend_ended(request(number), ended("v", "a"), next_run);
+        ledger.record_end(request(number), ended("v", "a"), next_run);
     }
     let settled = next_run + SETTLING_MS;
     assert!(is_barred_at(&ledger, second, settled));
@@ -327,7 +327,7 @@
     for honest_ends in [["a", "b", "c"], harmful_ends] {
         let mut ledger = ledger();
         let mut at = |backend: &str, number| {
-            ledger.backend_ended(request(number), ended(backend, "b"), 1_000);
+            ledger.record_end(request(number), ended(backend, "b"), 1_000);
         };
         for (backend, other) in [("x", 7), ("y", 8), ("a", 9)] {
             at(backend, other);
@@ -387,15 +387,15 @@
     end(&mut ledger, "x", &[HARMFUL, 2]);
     end(&mut ledger, "y", &[HARMFUL]);
     end(&mut ledger, "z", &[HARMFUL]);
-    assert!(ledger.cleared(&request(2)));
-    assert!(!ledger.cleared(&request(2)));
-    assert!(ledger.backend_lives(&BackendId::from("z")));
-    assert!(!ledger.backend_lives(&BackendId::from("z")));
+    assert!(ledger.clear(&request(2)));
+    assert!(!ledger.clear(&request(2)));
+    assert!(ledger.retract_ends_at(&BackendId::from("z")));
+    assert!(!ledger.retract_ends_at(&BackendId::from("z")));
     assert!(!is_barred(&ledger, HARMFUL));
-    assert!(ledger.cleared(&request(HARMFUL)));
+    assert!(ledger.clear(&request(HARMFUL)));
     assert!(ledger.is_empty());
     end(&mut ledger, "v", &[3]);
-    assert!(ledger.backend_lives(&BackendId::from("v")));
+    assert!(ledger.retract_ends_at(&BackendId::from("v")));
     assert!(ledger.is_empty());
     let forgotten = ForgottenRequests {
         cleared: 2,
@@ -433,7 +433,7 @@
     end(&mut ledger, "w", &[HARMFUL]);
     ledger.forget_old(HOUR_MS);
     assert_eq!(ledger.len(), 1, "a suspected one is forgotten sooner");
-    ledger.came_again(&request(HARMFUL), HOUR_MS);
+    ledger.record_retry(&request(HARMFUL), HOUR_MS);
     ledger.forget_old(HOUR_MS + HOUR_MS / 2);
     assert!(is_barred(&ledger, HARMFUL));
     ledger.forget_old(3 * HOUR_MS);
--- a/crates/rollout/tests/order_plan.rs
+++ b/crates/rollout/tests/order_plan.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use havenstage_rollout::ids::{BackendId, ModelName};
-use havenstage_rollout::order_plan::{OrderTarget, VersionDemand, assign_homes, plan_orders};
+use havenstage_rollout::order_plan::{OrderTarget, VersionDemand, assign_models, plan_orders};
 use support::backend;
 
 fn model(name: &str) -> ModelName {
@@ -18,31 +18,36 @@
         models: BTreeMap::from([(model("m"), version)]),
         running,
         slots: 2,
-        loading: false,
-        avoided: false,
+        is_loading: false,
+        is_avoided: false,
     }
 }
 
 /// More items than all back ends of a test have places for.
 const MANY_ITEMS: u32 = 1_000;
 
-fn plan(targets: &[OrderTarget], named: u64, allowed_age: u64, at_once: usize) -> Vec<String> {
+fn plan(
+    targets: &[OrderTarget],
+    named: u64,
+    max_versions_behind: u64,
+    max_concurrent: usize,
+) -> Vec<String> {
     let demand = VersionDemand {
         named,
-        allowed_age,
+        max_versions_behind,
         items: MANY_ITEMS,
     };
-    plan_for(targets, demand, at_once)
+    plan_for(targets, demand, max_concurrent)
 }
 
-fn plan_for(targets: &[OrderTarget], demand: VersionDemand, at_once: usize) -> Vec<String> {
+fn plan_for(targets: &[OrderTarget], demand: VersionDemand, max_concurrent: usize) -> Vec<String> {
     let homes: BTreeMap<BackendId, ModelName> = targets
         .iter()
         .map(|target| (target.backend.clone(), model("m")))
         .collect();
     let named = demand.named;
     let demand = BTreeMap::from([(model("m"), demand)]);
-    let orders = plan_orders(targets, &demand, &homes, at_once);
+    let orders = plan_orders(targets, &demand, &homes, max_concurrent);
     assert!(orders.iter().all(|order| order.version == named));
     orders
         .iter()
@@ -54,9 +59,9 @@
 fn only_so_many_load_at_once() {
     let mut targets = vec![target("a", 1, 0), target("b", 1, 0), target("c", 1, 0)];
     assert_eq!(plan(&targets, 2, 0, 2), ["a", "b"]);
-    targets[0].loading = true;
+    targets[0].is_loading = true;
     assert_eq!(plan(&targets, 2, 0, 2), ["b"]);
-    targets[1].loading = true;
+    targets[1].is_loading = true;
     assert!(plan(&targets, 2, 0, 2).is_empty());
 }
 
@@ -106,7 +111,7 @@
 #[test]
 fn an_avoided_back_end_gets_no_order() {
     let mut targets = vec![target("a", 1, 0)];
-    targets[0].avoided = true;
+    targets[0].is_avoided = true;
     assert!(plan(&targets, 2, 0, 2).is_empty());
 }
 
@@ -122,7 +127,7 @@
         .collect();
     let weights = BTreeMap::from([(model("m"), 200.0), (model("n"), 100.0)]);
     let named = BTreeMap::from([(model("m"), 2), (model("n"), 2)]);
-    let homes = assign_homes(&targets, &weights, &named);
+    let homes = assign_models(&targets, &weights, &named);
     let count = |name: &str| homes.values().filter(|home| **home == model(name)).count();
     assert_eq!((count("m"), count("n")), (4, 2));
 }
@@ -136,7 +141,7 @@
     let targets = [with("a", 1, 7), with("b", 7, 1)];
     let weights = BTreeMap::from([(model("m"), 1.0), (model("n"), 1.0)]);
     let named = BTreeMap::from([(model("m"), 8), (model("n"), 8)]);
-    let homes = assign_homes(&targets, &weights, &named);
+    let homes = assign_models(&targets, &weights, &named);
     assert_eq!(homes[&backend("a")], model("n"));
     assert_eq!(homes[&backend("b")], model("m"));
 }
@@ -145,9 +150,9 @@
 /// is; the same two with each version, as they hold the newest.
 #[test]
 fn no_more_back_ends_load_than_the_newest_batch_has_items_for() {
-    let of_four_items = |named, allowed_age| VersionDemand {
+    let of_four_items = |named, max_versions_behind| VersionDemand {
         named,
-        allowed_age,
+        max_versions_behind,
         items: 4,
     };
     let fresh = ["a", "b", "c", "d", "e"].map(|id| target(id, 1, 0));
@@ -167,10 +172,10 @@
 #[test]
 fn another_loads_for_one_that_is_avoided() {
     let mut targets = ["a", "b", "c"].map(|id| target(id, 1, 0));
-    targets[0].avoided = true;
+    targets[0].is_avoided = true;
     let demand = VersionDemand {
         named: 2,
-        allowed_age: 0,
+        max_versions_behind: 0,
         items: 4,
     };
     assert_eq!(plan_for(&targets, demand, 9), ["b", "c"]);
--- a/crates/rollout/tests/sizing.rs
+++ b/crates/rollout/tests/sizing.rs
@@ -11,8 +11,8 @@
 fn scaling() -> PoolScaling {
     let prices = [("cheap", 0.85), ("dear", 1.2), ("usual", 1.0)];
     PoolScaling {
-        smallest: 1,
-        largest: 14,
+        min_backends: 1,
+        max_backends: 14,
         boot_ms: 4_000,
         zone_prices: prices
             .map(|(zone, price)| (ZoneName::from(zone), price))
@@ -20,11 +20,11 @@
     }
 }
 
-fn load(taken: u32, is_behind: bool) -> PoolLoad {
+fn load(running_items: u32, is_behind: bool) -> PoolLoad {
     PoolLoad {
         ready: sizes(&[("cheap", 12), ("dear", 12), ("usual", 11)]),
-        places: 210,
-        taken,
+        slots: 210,
+        running_items,
         is_behind,
     }
 }
@@ -32,7 +32,7 @@
 /// What a pool is planned to have after each of these moments.
 fn plans(loads: &[(u64, PoolLoad)]) -> Vec<Option<ZoneSizes>> {
     let mut sizer = PoolSizer::default();
-    sizer.saw(&load(0, false).ready);
+    sizer.observe_ready(&load(0, false).ready);
     let plan = |(now, load): &(u64, PoolLoad)| sizer.plan(&scaling(), &sizes(&[]), load, *now);
     loads.iter().map(plan).collect()
 }
@@ -48,7 +48,7 @@
     assert_eq!(planned[2], Some(expected));
 }
 
-/// The burst with which each step begins takes all places, and is over before new back ends serve.
+/// The burst with which each step begins takes all slots, and is over before new back ends serve.
 #[test]
 fn a_full_pool_that_is_in_time_stays_as_it_is() {
     let full = load(210, false);
@@ -74,8 +74,8 @@
 fn a_pool_of_which_nothing_is_listed_is_left_alone() {
     let unknown = PoolLoad {
         ready: sizes(&[]),
-        places: 0,
-        taken: 0,
+        slots: 0,
+        running_items: 0,
         is_behind: true,
     };
     assert_eq!(
@@ -88,14 +88,14 @@
 #[test]
 fn back_ends_that_are_missing_for_a_moment_are_not_ordered_away() {
     let mut sizer = PoolSizer::default();
-    sizer.saw(&load(0, false).ready);
+    sizer.observe_ready(&load(0, false).ready);
     let few = PoolLoad {
         ready: sizes(&[("cheap", 2), ("dear", 1), ("usual", 0)]),
-        places: 18,
-        taken: 18,
+        slots: 18,
+        running_items: 18,
         is_behind: true,
     };
-    sizer.saw(&few.ready);
+    sizer.observe_ready(&few.ready);
     let ordered = sizes(&[("dear", 13)]);
     assert_eq!(sizer.plan(&scaling(), &ordered, &few, 0), None);
     let planned = sizer.plan(&scaling(), &ordered, &few, 700).unwrap();
--- a/crates/rollout/tests/slow_start.rs
+++ b/crates/rollout/tests/slow_start.rs
@@ -28,14 +28,14 @@
 fn sends(senders: &[Sender<'_>], backend: &BackendId) -> Vec<Millis> {
     let mut nodes: Vec<SlowStart> = senders.iter().map(|_| SlowStart::default()).collect();
     for node in &mut nodes {
-        node.told(backend, LIMIT.duration_ms, 0);
+        node.report_cold(backend, LIMIT.duration_ms, 0);
     }
     let mut sends = Vec::new();
     for now in (0..LIMIT.duration_ms).step_by(LOOK_MS as usize) {
         for (node, sender) in nodes.iter_mut().zip(senders) {
             let allowance = node.allowance(backend, Some(&LIMIT), *sender, now);
             for _ in 0..allowance.expect("it is cold") {
-                node.sent(backend, now);
+                node.record_sent(backend, now);
                 sends.push(now);
             }
         }
@@ -107,14 +107,14 @@
     let owners = [own.clone()];
     let sender = item(&own, &owners);
     let mut slow_start = SlowStart::default();
-    slow_start.told(&backend, 0, 100);
+    slow_start.report_cold(&backend, 0, 100);
     assert_eq!(
         slow_start.allowance(&backend, Some(&LIMIT), sender, 100),
         None
     );
-    slow_start.suspected(&backend, &LIMIT, 200);
+    slow_start.suspect_cold(&backend, &LIMIT, 200);
     // This may have been written before what made it a suspect.
-    slow_start.told(&backend, 0, 300);
+    slow_start.report_cold(&backend, 0, 300);
     assert!(slow_start.is_cold(&backend, 3_199));
     assert_eq!(
         slow_start.allowance(&backend, Some(&LIMIT), sender, 300),
@@ -122,6 +122,6 @@
     );
     assert_eq!(slow_start.allowance(&backend, None, sender, 300), None);
     assert!(!slow_start.is_cold(&backend, 3_200));
-    slow_start.told(&backend, 500, 4_000);
+    slow_start.report_cold(&backend, 500, 4_000);
     assert!(slow_start.is_cold(&backend, 4_499), "cold again");
 }
--- a/crates/rollout/tests/usage.rs
+++ b/crates/rollout/tests/usage.rs
@@ -32,21 +32,25 @@
 fn a_meter_tells_what_is_not_written() {
     let (mut meter, own) = (UsageMeter::default(), node("a", 1));
     let water = TenantName::from("water");
-    meter.began(&water, 7);
-    let first = meter.unwritten(&own);
+    meter.count_request(&water, 7);
+    let first = meter.unwritten_records(&own);
     assert_eq!(first, [record("a", 7, &[("water", 1)])]);
-    meter.began(&water, 7);
-    meter.written(&first);
-    let second = meter.unwritten(&own);
+    meter.count_request(&water, 7);
+    meter.mark_written(&first);
+    let second = meter.unwritten_records(&own);
     assert_eq!(
         second,
         [record("a", 7, &[("water", 2)])],
         "one came meanwhile"
     );
     meter.forget_before(8);
-    assert_eq!(meter.unwritten(&own).len(), 1, "it is not written yet");
-    meter.written(&second);
-    assert!(meter.unwritten(&own).is_empty());
+    assert_eq!(
+        meter.unwritten_records(&own).len(),
+        1,
+        "it is not written yet"
+    );
+    meter.mark_written(&second);
+    assert!(meter.unwritten_records(&own).is_empty());
 }
 
 #[test]
@@ -77,12 +81,15 @@
     ledger.decide(7, counts(&[("water", 1)]));
     ledger.decide(7, counts(&[("water", 2)]));
     assert_eq!(ledger.newest(), Some(7));
-    assert_eq!(ledger.to_report().unwrap().counts, counts(&[("water", 1)]));
+    assert_eq!(
+        ledger.oldest_unsettled().unwrap().counts,
+        counts(&[("water", 1)])
+    );
     ledger.settle(7);
-    assert_eq!(ledger.to_report(), None);
+    assert_eq!(ledger.oldest_unsettled(), None);
     ledger.decide(8, counts(&[]));
     ledger.decide(7, counts(&[("water", 2)]));
-    assert_eq!(ledger.to_report().unwrap().window, 8, "a late copy");
+    assert_eq!(ledger.oldest_unsettled().unwrap().window, 8, "a late copy");
 }
 
 #[test]
