--- a/crates/gateway/src/backends.rs
+++ b/crates/gateway/src/backends.rs
@@ -214,7 +214,7 @@
     fn replace(&mut self, entries: BTreeMap<BackendName, BackendRecord>, now: Millis) {
         self.list.replace(entries.clone());
         for (name, record) in entries {
-            let life = BackendId::of_life(&name, record.started_at);
+            let life = BackendId::from_name_and_start(&name, record.started_at);
             self.note_entry(&life, &record, now);
         }
         self.forget_unlisted(now);
--- a/crates/gateway/src/claim_timing.rs
+++ b/crates/gateway/src/claim_timing.rs
@@ -20,7 +20,7 @@
 /// Time until this node makes a claim again that came to nothing.
 pub fn claim_again_after_ms(context: &Context, claim: &str) -> Millis {
     let silence_ms = context.settings.tuning.silence_ms;
-    claim_spread(context).again_after_ms(xxh3_64(claim.as_bytes()), silence_ms)
+    claim_spread(context).retry_delay_ms(xxh3_64(claim.as_bytes()), silence_ms)
 }
 
 /// How this fleet spreads its claims.
@@ -28,6 +28,6 @@
     ClaimSpread {
         machines: context.fleet_size(),
         spread_ms: context.settings.tuning.spread_ms,
-        seen_after_ms: context.pace().gap_ms,
+        claim_visible_after_ms: context.pace().gap_ms,
     }
 }
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -394,7 +394,7 @@
                 control
                     .state
                     .index()
-                    .newest_like(notice, FOLLOWED_OF_TRAINER)
+                    .newest_of_same_trainer(notice, FOLLOWED_OF_TRAINER)
             })
             .chain(own.iter())
             .map(|notice| self.partitions.index_of(&notice.batch))
--- a/crates/gateway/src/coordinator/demand.rs
+++ b/crates/gateway/src/coordinator/demand.rs
@@ -110,7 +110,7 @@
         for (id, record) in backends.list.ready_in(&pool.name) {
             let is_quiet = control
                 .state
-                .quiet_ms(id, now)
+                .ms_since_order_by_other_machine(id, now)
                 .is_none_or(|quiet| quiet > quiet_ms);
             let is_left_alone = self.avoided_until.get(id).is_some_and(|until| *until > now);
             let models = pool.models.iter();
--- a/crates/gateway/src/coordinator/suspension.rs
+++ b/crates/gateway/src/coordinator/suspension.rs
@@ -42,6 +42,6 @@
             contact_age_ms = self.context.contact_age(), holds_order_lease = self.lease.is_some(); "");
         metrics::machine_suspended(suspended);
         let mut control = self.context.control.lock();
-        control.state.machine_was_suspended(suspended_ms);
+        control.state.exclude_suspended_time(suspended_ms);
     }
 }
--- a/crates/gateway/src/engine/leases.rs
+++ b/crates/gateway/src/engine/leases.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use havenstage_rollout::Millis;
-use havenstage_rollout::batch_index::{BatchNotice, IndexedBatch, NEVER_CAME_MS};
+use havenstage_rollout::batch_index::{BatchNotice, IndexedBatch, MISSING_ITEMS_TIMEOUT_MS};
 use havenstage_rollout::control_record::ControlRecord;
 use havenstage_rollout::ids::BatchId;
 use havenstage_rollout::lease::{LeaseState, Term};
@@ -252,8 +252,8 @@
 
 /// An owner that says that it runs the batch has read its items, though they may be dropped by now.
 fn never_came(batch: &IndexedBatch, now: Millis) -> bool {
-    let last_sign = batch.first_seen.max(batch.owner.seen());
-    batch.is_open() && now.saturating_sub(last_sign) > NEVER_CAME_MS
+    let last_sign = batch.first_seen.max(batch.owner.last_seen());
+    batch.is_open() && now.saturating_sub(last_sign) > MISSING_ITEMS_TIMEOUT_MS
 }
 
 /// Whether this node may claim a batch, by what the index tells of its owner.
@@ -266,7 +266,7 @@
     let timing = timing_of(context, batch);
     let at = match batch.owner.is_held_by(&context.node) {
         // The index names this node, and the batch's own partition another, which would have told.
-        true => batch.owner.seen().max(readable_since) + timing.silence_ms,
+        true => batch.owner.last_seen().max(readable_since) + timing.silence_ms,
         false => batch
             .owner
             .claimable_at(&context.node, readable_since, &timing),
--- a/crates/gateway/src/log_writes.rs
+++ b/crates/gateway/src/log_writes.rs
@@ -58,6 +58,6 @@
 ) {
     if let Err(error) = append(&context, partition, &value).await {
         warn!(event = "record_not_written", partition = partition.to_string().as_str(),
-            value = T::WHAT, reason = error.to_string().as_str(); "");
+            value = T::DESCRIPTION, reason = error.to_string().as_str(); "");
     }
 }
--- a/crates/gateway/src/peer_notices.rs
+++ b/crates/gateway/src/peer_notices.rs
@@ -54,7 +54,7 @@
 }
 
 impl Stored for PeerNotice {
-    const WHAT: &'static str = "a notice of another node";
+    const DESCRIPTION: &'static str = "a notice of another node";
 }
 
 /// Why a datagram is no notice of a node.
--- a/crates/gateway/src/stream_view.rs
+++ b/crates/gateway/src/stream_view.rs
@@ -38,7 +38,7 @@
     }
 
     fn missed_records(&mut self, now: Millis) {
-        PartitionState::missed_records(self, now);
+        PartitionState::drop_incomplete_batches(self, now);
     }
 }
 
--- a/crates/rollout/src/backend.rs
+++ b/crates/rollout/src/backend.rs
@@ -40,7 +40,10 @@
     /// The life that the new entry is of.
     pub fn life(&self) -> Option<BackendId> {
         let record = self.record.as_ref()?;
-        Some(BackendId::of_life(&self.name, record.started_at))
+        Some(BackendId::from_name_and_start(
+            &self.name,
+            record.started_at,
+        ))
     }
 }
 
--- a/crates/rollout/src/backend_digest.rs
+++ b/crates/rollout/src/backend_digest.rs
@@ -107,7 +107,7 @@
 }
 
 impl Stored for DigestRecord {
-    const WHAT: &'static str = "a record of the digest of back ends";
+    const DESCRIPTION: &'static str = "a record of the digest of back ends";
 }
 
 /// The digest up to an offset of its stream.
@@ -122,7 +122,7 @@
 }
 
 impl Stored for DigestCheckpoint {
-    const WHAT: &'static str = "a checkpoint of the digest of back ends";
+    const DESCRIPTION: &'static str = "a checkpoint of the digest of back ends";
 }
 
 /// The digest as far as it was read.
--- a/crates/rollout/src/batch_index.rs
+++ b/crates/rollout/src/batch_index.rs
@@ -18,7 +18,7 @@
 
 /// Time without a sign of its owner after which a batch whose items are not in its partition is taken for
 /// one that was never accepted: its caller was told so long before, or went elsewhere with it.
-pub const NEVER_CAME_MS: Millis = 15_000;
+pub const MISSING_ITEMS_TIMEOUT_MS: Millis = 15_000;
 
 /// What all nodes learn of a batch that was accepted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -101,7 +101,7 @@
     /// Whether a closed batch was certainly done. Else its items were missing: nobody ever found them, or
     /// the log had dropped them, which takes longer than any copy of a notice is late.
     fn is_done_for_good(&self, now: Millis) -> bool {
-        self.was_found && now.saturating_sub(self.first_seen) <= NEVER_CAME_MS
+        self.was_found && now.saturating_sub(self.first_seen) <= MISSING_ITEMS_TIMEOUT_MS
     }
 }
 
@@ -187,7 +187,7 @@
 
     /// The newest batches that were handed in like this one, itself among them: a later one may
     /// carry items of an earlier one.
-    pub fn newest_like(&self, notice: &BatchNotice, most: usize) -> Vec<&BatchNotice> {
+    pub fn newest_of_same_trainer(&self, notice: &BatchNotice, most: usize) -> Vec<&BatchNotice> {
         let mut alike: Vec<&IndexedBatch> = self
             .batches
             .values()
--- a/crates/rollout/src/checkpoint.rs
+++ b/crates/rollout/src/checkpoint.rs
@@ -24,7 +24,7 @@
 use crate::usage::DecidedUsage;
 
 /// Number of the present form of checkpoints; rises with each field that is added.
-pub const FORM: u8 = 7;
+pub const FORMAT_VERSION: u8 = 7;
 /// Number of the oldest form that names its number. Each one since has one more list at its end: the requests
 /// under which back ends ended, the decided windows of usage, the ordered sizes, the addresses of nodes that run
 /// batches, the addresses of other machines.
@@ -53,7 +53,7 @@
     pub last_orders: Vec<OrderTime>,
     /// Time that has certainly passed between the first record and this offset.
     pub log_time: Millis,
-    /// [`FORM`] of the node that wrote it. What stands from here on is not in the first form.
+    /// [`FORMAT_VERSION`] of the node that wrote it. What stands from here on is not in the first form.
     pub form: u8,
     /// Those of the last orders behind which no sign of life stands yet.
     pub unsigned_orders: BTreeSet<(BackendId, MachineName)>,
@@ -150,13 +150,13 @@
 }
 
 impl Stored for ControlCheckpoint {
-    const WHAT: &'static str = "a checkpoint of the control stream";
+    const DESCRIPTION: &'static str = "a checkpoint of the control stream";
 
     fn decode(bytes: &[u8]) -> Result<Self, UnreadableValue> {
         let whole = postcard::from_bytes(bytes);
         whole.or_else(|source| {
             let first_form = || FirstForm::read_whole(bytes).map(Self::from);
-            let unreadable = || UnreadableValue::new(Self::WHAT, source);
+            let unreadable = || UnreadableValue::new(Self::DESCRIPTION, source);
             read_shorter_form(bytes)
                 .or_else(first_form)
                 .ok_or_else(unreadable)
@@ -166,9 +166,9 @@
 
 /// Reads a form that names its number, which is the present one without its last lists.
 fn read_shorter_form(bytes: &[u8]) -> Option<ControlCheckpoint> {
-    (SECOND_FORM..FORM).rev().find_map(|form| {
+    (SECOND_FORM..FORMAT_VERSION).rev().find_map(|form| {
         let mut completed = bytes.to_vec();
-        let missing = usize::from(FORM - form);
+        let missing = usize::from(FORMAT_VERSION - form);
         completed.extend(std::iter::repeat_n(ENCODED_EMPTY_LIST, missing));
         let checkpoint: ControlCheckpoint = postcard::from_bytes(&completed).ok()?;
         (checkpoint.form == form).then_some(checkpoint)
--- a/crates/rollout/src/claim_delay.rs
+++ b/crates/rollout/src/claim_delay.rs
@@ -25,7 +25,7 @@
     /// Time over which few machines spread their claims, in milliseconds.
     pub spread_ms: Millis,
     /// Time that a claim takes to be seen by all, in milliseconds.
-    pub seen_after_ms: Millis,
+    pub claim_visible_after_ms: Millis,
 }
 
 impl ClaimSpread {
@@ -38,7 +38,7 @@
         let share = draw as f64 / u64::MAX as f64;
         // How many nodes are expected to claim before this one.
         let rank = share * self.machines as f64;
-        let doubling_ms = (spread_ms + self.seen_after_ms) as f64;
+        let doubling_ms = (spread_ms + self.claim_visible_after_ms) as f64;
         let claims_per_ms = MOST_CLAIMS_PER_S / MS_PER_S;
         // From this rank on doublings would bring more claims a second than are wanted.
         let last_doubled = (claims_per_ms * doubling_ms / std::f64::consts::LN_2).max(FIRST_CLAIMS);
@@ -50,7 +50,7 @@
 
     /// Time until a node tries again whose claim came to nothing: those that may claim first try often, and the many
     /// that come after them as seldom as they came late.
-    pub fn again_after_ms(&self, draw: u64, silence_ms: Millis) -> Millis {
+    pub fn retry_delay_ms(&self, draw: u64, silence_ms: Millis) -> Millis {
         silence_ms.max(self.delay_ms(draw))
     }
 }
--- a/crates/rollout/src/control.rs
+++ b/crates/rollout/src/control.rs
@@ -8,7 +8,7 @@
 
 use crate::Millis;
 use crate::batch_index::BatchIndex;
-use crate::checkpoint::{ControlCheckpoint, FORM, OrderTime};
+use crate::checkpoint::{ControlCheckpoint, FORMAT_VERSION, OrderTime};
 use crate::control_record::ControlRecord;
 use crate::crash_ledger::CrashLedger;
 use crate::fleet_size::FleetSize;
@@ -117,7 +117,7 @@
                 .collect(),
             last_orders: last_orders.collect(),
             log_time: self.log_time,
-            form: FORM,
+            form: FORMAT_VERSION,
             unsigned_orders: unsigned
                 .map(|(backend, order)| (backend.clone(), order.machine.clone()))
                 .collect(),
@@ -374,7 +374,11 @@
     /// did. A reader that has just started reads old orders only now, but the signs of life behind
     /// them tell how old they are at least: the first one only that it is younger, each further one by
     /// the time since the one before.
-    pub fn quiet_ms(&self, backend: &BackendId, now: Millis) -> Option<Millis> {
+    pub fn ms_since_order_by_other_machine(
+        &self,
+        backend: &BackendId,
+        now: Millis,
+    ) -> Option<Millis> {
         let seen = self.last_orders.of_another(backend, &self.own_machine)?;
         let by_own_clock = now.saturating_sub(seen.read_at);
         let by_the_log = seen.log_time.map_or(0, |signed| self.log_time - signed);
@@ -384,7 +388,7 @@
     /// This machine was suspended for so long, which its clock counts in all that is told here as now. What is owed to
     /// other machines' orders is waited for all the same: only time in which this machine ran, or that the log tells of,
     /// has certainly passed for everybody.
-    pub fn machine_was_suspended(&mut self, suspended_ms: Millis) {
+    pub fn exclude_suspended_time(&mut self, suspended_ms: Millis) {
         self.last_orders.clock_leapt(suspended_ms);
     }
 
--- a/crates/rollout/src/control_record.rs
+++ b/crates/rollout/src/control_record.rs
@@ -146,5 +146,5 @@
 }
 
 impl Stored for ControlRecord {
-    const WHAT: &'static str = "a record of the control stream";
+    const DESCRIPTION: &'static str = "a record of the control stream";
 }
--- a/crates/rollout/src/fold.rs
+++ b/crates/rollout/src/fold.rs
@@ -120,7 +120,7 @@
     /// Records were dropped before they were read here. What they would have changed is not known, so a later
     /// result would be listed at a position that other nodes have given to another one: only batches that
     /// are listed whole stay.
-    pub fn missed_records(&mut self, now: Millis) {
+    pub fn drop_incomplete_batches(&mut self, now: Millis) {
         self.missed_at = Some(now);
         self.batches.retain(|_, batch| batch.is_fully_listed());
     }
--- a/crates/rollout/src/ids.rs
+++ b/crates/rollout/src/ids.rs
@@ -78,7 +78,7 @@
 
 impl BackendId {
     /// The life of a back end that started at a time of day, in milliseconds since the beginning of 1970.
-    pub fn of_life(name: &BackendName, started_at: Option<u64>) -> Self {
+    pub fn from_name_and_start(name: &BackendName, started_at: Option<u64>) -> Self {
         match started_at {
             Some(started_at) => Self::from(format!("{name}{LIFE_MARK}{started_at}")),
             None => Self::from(name.as_str()),
--- a/crates/rollout/src/lease.rs
+++ b/crates/rollout/src/lease.rs
@@ -50,7 +50,7 @@
     }
 
     /// When a sign of the holder was last seen.
-    pub fn seen(&self) -> Millis {
+    pub fn last_seen(&self) -> Millis {
         self.seen
     }
 
--- a/crates/rollout/src/occupancy.rs
+++ b/crates/rollout/src/occupancy.rs
@@ -36,12 +36,12 @@
 }
 
 impl Stored for OccupancyRecord {
-    const WHAT: &'static str = "a record of occupancy";
+    const DESCRIPTION: &'static str = "a record of occupancy";
 
     fn decode(bytes: &[u8]) -> Result<Self, UnreadableValue> {
         postcard::from_bytes(bytes)
             .or_else(|_| postcard::from_bytes(bytes).map(Self::without_details))
-            .map_err(|source| UnreadableValue::new(Self::WHAT, source))
+            .map_err(|source| UnreadableValue::new(Self::DESCRIPTION, source))
     }
 }
 
--- a/crates/rollout/src/peer_message.rs
+++ b/crates/rollout/src/peer_message.rs
@@ -88,9 +88,9 @@
 }
 
 impl Stored for PeerRequest {
-    const WHAT: &'static str = "a question of another node";
+    const DESCRIPTION: &'static str = "a question of another node";
 }
 
 impl Stored for PeerAnswer {
-    const WHAT: &'static str = "an answer of another node";
+    const DESCRIPTION: &'static str = "an answer of another node";
 }
--- a/crates/rollout/src/record.rs
+++ b/crates/rollout/src/record.rs
@@ -135,7 +135,7 @@
 }
 
 impl Stored for BatchRecord {
-    const WHAT: &'static str = "a record of a batch";
+    const DESCRIPTION: &'static str = "a record of a batch";
 }
 
 impl BatchRecord {
--- a/crates/rollout/src/stored.rs
+++ b/crates/rollout/src/stored.rs
@@ -23,7 +23,7 @@
 /// A value that is kept in the log, or told to another node. It holds only plain data.
 pub trait Stored: Serialize + DeserializeOwned {
     /// What it is, with its article, for errors.
-    const WHAT: &'static str;
+    const DESCRIPTION: &'static str;
 
     /// The bytes that stand for it.
     fn encode(&self) -> Vec<u8> {
@@ -32,6 +32,7 @@
 
     /// Reads such bytes.
     fn decode(bytes: &[u8]) -> Result<Self, UnreadableValue> {
-        postcard::from_bytes(bytes).map_err(|source| UnreadableValue::new(Self::WHAT, source))
+        postcard::from_bytes(bytes)
+            .map_err(|source| UnreadableValue::new(Self::DESCRIPTION, source))
     }
 }
--- a/crates/rollout/src/usage.rs
+++ b/crates/rollout/src/usage.rs
@@ -38,7 +38,7 @@
 }
 
 impl Stored for UsageRecord {
-    const WHAT: &'static str = "a record of usage";
+    const DESCRIPTION: &'static str = "a record of usage";
 }
 
 /// What a node counts itself.
--- a/crates/rollout/tests/backends.rs
+++ b/crates/rollout/tests/backends.rs
@@ -37,9 +37,9 @@
 
 #[test]
 fn a_life_has_the_back_ends_name_and_its_own_start() {
-    let life = BackendId::of_life(&BackendName::from("b1"), Some(170));
+    let life = BackendId::from_name_and_start(&BackendName::from("b1"), Some(170));
     assert_eq!((life.name(), life.started_at()), ("b1", Some(170)));
-    let unknown = BackendId::of_life(&BackendName::from("b1"), None);
+    let unknown = BackendId::from_name_and_start(&BackendName::from("b1"), None);
     assert_eq!((unknown.name(), unknown.started_at()), ("b1", None));
     let marked = id("b@1@x");
     assert_eq!((marked.name(), marked.started_at()), ("b@1@x", None));
--- a/crates/rollout/tests/batch_index.rs
+++ b/crates/rollout/tests/batch_index.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use havenstage_rollout::batch_index::{BatchIndex, BatchNotice, NEVER_CAME_MS};
+use havenstage_rollout::batch_index::{BatchIndex, BatchNotice, MISSING_ITEMS_TIMEOUT_MS};
 use havenstage_rollout::ids::{BatchId, ModelName, NodeId};
 use support::{item, node, submission};
 
@@ -56,7 +56,7 @@
     let mut index = BatchIndex::default();
     let batch = BatchId::from("batch");
     index.accepted(notice("batch", 1, None), 10);
-    index.closed(&batch, 10 + NEVER_CAME_MS);
+    index.closed(&batch, 10 + MISSING_ITEMS_TIMEOUT_MS);
     index.accepted(notice("batch", 1, None), 20_000);
     assert_eq!(index.batch(&batch).unwrap().first_seen, 20_000);
 }
@@ -73,7 +73,7 @@
     );
     let owner = &index.batch(&batch).unwrap().owner;
     assert!(owner.is_held_by(&node("b", 1)));
-    assert_eq!(owner.seen(), 50);
+    assert_eq!(owner.last_seen(), 50);
 }
 
 /// A node that was replaced gives up what is no longer its own.
@@ -97,7 +97,7 @@
     let mut of_another = notice("other", 9, None);
     of_another.model = Some(ModelName::from("another"));
     index.accepted(of_another.clone(), 10);
-    let alike = index.newest_like(&notice("third", 2, None), 2);
+    let alike = index.newest_of_same_trainer(&notice("third", 2, None), 2);
     let names: Vec<&str> = alike.iter().map(|notice| notice.batch.as_str()).collect();
     assert_eq!(names, ["third", "second"]);
     let newest = index.newest_of_model(&ModelName::from("model")).unwrap();
--- a/crates/rollout/tests/claim_delay.rs
+++ b/crates/rollout/tests/claim_delay.rs
@@ -11,7 +11,7 @@
     ClaimSpread {
         machines,
         spread_ms: 300,
-        seen_after_ms: 370,
+        claim_visible_after_ms: 370,
     }
 }
 
@@ -72,7 +72,7 @@
         assert!(most <= 25, "{most} in a second of {machines}");
         let again_ms = |node: usize| {
             let draw = xxh3_64(format!("{node} 7").as_bytes());
-            spread(machines).again_after_ms(draw, 1_300) as f64
+            spread(machines).retry_delay_ms(draw, 1_300) as f64
         };
         let per_s: f64 = (0..machines).map(|node| 1_000.0 / again_ms(node)).sum();
         assert!(per_s <= 60.0, "{per_s} a second of {machines}");
@@ -83,5 +83,5 @@
 fn few_machines_spread_their_claims_evenly() {
     let few = spread(12);
     assert!((0..1_000).all(|draw| few.delay_ms(draw) < 300));
-    assert_eq!(few.again_after_ms(u64::MAX, 1_300), 1_300);
+    assert_eq!(few.retry_delay_ms(u64::MAX, 1_300), 1_300);
 }
--- a/crates/rollout/tests/control.rs
+++ b/crates/rollout/tests/control.rs
@@ -38,11 +38,17 @@
 fn only_orders_of_other_machines_make_a_holder_wait() {
     let mut state = ControlState::new(MachineName::from("a"));
     state.apply(ordered("a", "x"), 10);
-    assert_eq!(state.quiet_ms(&backend("x"), 50), None);
+    assert_eq!(
+        state.ms_since_order_by_other_machine(&backend("x"), 50),
+        None
+    );
     state.apply(ordered("b", "x"), 20);
-    assert_eq!(state.quiet_ms(&backend("x"), 50), Some(30));
     assert_eq!(
-        state.quiet_ms(&backend("y"), 50),
+        state.ms_since_order_by_other_machine(&backend("x"), 50),
+        Some(30)
+    );
+    assert_eq!(
+        state.ms_since_order_by_other_machine(&backend("y"), 50),
         None,
         "another back end is not concerned"
     );
@@ -66,7 +72,10 @@
         state.apply(kept("b", 1, 300), 1_000);
     }
     state.apply(kept("a", 0, 9_000), 1_000);
-    assert_eq!(state.quiet_ms(&backend("x"), 1_000), Some(2_700));
+    assert_eq!(
+        state.ms_since_order_by_other_machine(&backend("x"), 1_000),
+        Some(2_700)
+    );
 }
 
 /// A holder that was told to stop gave an order 250 ms after a sign of life and 50 ms before the next one.
@@ -82,11 +91,20 @@
     for record in [claimed, kept("b", 1, 0), ordered("b", "x")] {
         state.apply(record, 1_000);
     }
-    assert_eq!(state.quiet_ms(&backend("x"), 1_000), Some(0));
+    assert_eq!(
+        state.ms_since_order_by_other_machine(&backend("x"), 1_000),
+        Some(0)
+    );
     state.apply(kept("b", 1, 300), 1_000);
-    assert_eq!(state.quiet_ms(&backend("x"), 1_000), Some(0));
+    assert_eq!(
+        state.ms_since_order_by_other_machine(&backend("x"), 1_000),
+        Some(0)
+    );
     state.apply(kept("b", 1, 300), 1_000);
-    assert_eq!(state.quiet_ms(&backend("x"), 1_000), Some(300));
+    assert_eq!(
+        state.ms_since_order_by_other_machine(&backend("x"), 1_000),
+        Some(300)
+    );
 }
 
 #[test]
@@ -224,8 +242,12 @@
             }
             assert_eq!(state.checkpoint(0), whole.checkpoint(0), "taken at {at}");
             for backend in ["x", "y", "z"].map(backend) {
-                let quiet_ms = state.quiet_ms(&backend, 1_000);
-                assert_eq!(quiet_ms, whole.quiet_ms(&backend, 1_000), "taken at {at}");
+                let quiet_ms = state.ms_since_order_by_other_machine(&backend, 1_000);
+                assert_eq!(
+                    quiet_ms,
+                    whole.ms_since_order_by_other_machine(&backend, 1_000),
+                    "taken at {at}"
+                );
             }
         }
     }
@@ -279,9 +301,15 @@
     assert_eq!((read.next, &read.batches), (16, &old.2));
     let mut state = ControlState::restored(MachineName::from("a"), read, 1_000);
     state.apply(kept("c", 2, 300), 1_000);
-    assert_eq!(state.quiet_ms(&backend("x"), 1_000), Some(0));
+    assert_eq!(
+        state.ms_since_order_by_other_machine(&backend("x"), 1_000),
+        Some(0)
+    );
     state.apply(kept("c", 2, 300), 1_000);
-    assert_eq!(state.quiet_ms(&backend("x"), 1_000), Some(300));
+    assert_eq!(
+        state.ms_since_order_by_other_machine(&backend("x"), 1_000),
+        Some(300)
+    );
     assert!(ControlCheckpoint::decode(&written[..written.len() - 1]).is_err());
 }
 
@@ -337,9 +365,18 @@
 fn time_in_which_the_machine_was_suspended_makes_no_order_older() {
     let mut state = ControlState::new(MachineName::from("a"));
     state.apply(ordered("b", "x"), 20);
-    assert_eq!(state.quiet_ms(&backend("x"), 50), Some(30));
-    state.machine_was_suspended(4_000);
-    assert_eq!(state.quiet_ms(&backend("x"), 4_060), Some(40));
+    assert_eq!(
+        state.ms_since_order_by_other_machine(&backend("x"), 50),
+        Some(30)
+    );
+    state.exclude_suspended_time(4_000);
+    assert_eq!(
+        state.ms_since_order_by_other_machine(&backend("x"), 4_060),
+        Some(40)
+    );
     state.apply(ordered("b", "y"), 4_070);
-    assert_eq!(state.quiet_ms(&backend("y"), 4_100), Some(30));
+    assert_eq!(
+        state.ms_since_order_by_other_machine(&backend("y"), 4_100),
+        Some(30)
+    );
 }
--- a/crates/rollout/tests/fold.rs
+++ b/crates/rollout/tests/fold.rs
@@ -243,7 +243,7 @@
 fn a_gap_counts_until_batches_handed_in_before_it_are_past_their_retention() {
     let mut state = state_with_item();
     assert!(!state.has_missed_records());
-    state.missed_records(1_000);
+    state.drop_incomplete_batches(1_000);
     assert!(state.batch(&BatchId::from("batch")).is_none());
     assert!(state.has_missed_records());
     state.forget_before(1_000);
@@ -257,7 +257,7 @@
 #[test]
 fn a_batch_handed_in_after_a_gap_is_kept() {
     let mut state = state_with_item();
-    state.missed_records(1_000);
+    state.drop_incomplete_batches(1_000);
     let record = submitted("later", vec![item("item", "group", 10)], None);
     assert_eq!(state.apply(record, 1_001), FoldOutcome::Applied);
     assert!(state.batch(&BatchId::from("later")).is_some());
--- a/crates/rollout/tests/late_copies.rs
+++ b/crates/rollout/tests/late_copies.rs
@@ -5,7 +5,7 @@
 
 mod support;
 
-use havenstage_rollout::batch_index::{BatchIndex, BatchNotice, NEVER_CAME_MS};
+use havenstage_rollout::batch_index::{BatchIndex, BatchNotice, MISSING_ITEMS_TIMEOUT_MS};
 use havenstage_rollout::checkpoint::ControlCheckpoint;
 use havenstage_rollout::control::ControlState;
 use havenstage_rollout::control_record::ControlRecord;
@@ -223,16 +223,16 @@
     index.accepted(notice.clone(), 9_000);
     let batch = index.batch(&notice.batch).unwrap();
     assert!(batch.is_open());
-    assert_eq!(batch.owner.seen(), 9_000);
+    assert_eq!(batch.owner.last_seen(), 9_000);
 }
 
 /// The log no longer has its items, so that it was taken for one that never came, and it is handed in again.
 #[test]
 fn a_batch_that_is_handed_in_again_after_its_items_were_dropped_is_open_again() {
     let (mut index, notice) = index_with_closed_batch(true);
-    let at = 1_000 + NEVER_CAME_MS + 1;
+    let at = 1_000 + MISSING_ITEMS_TIMEOUT_MS + 1;
     index.accepted(notice.clone(), at);
     let batch = index.batch(&notice.batch).unwrap();
     assert!(batch.is_open());
-    assert_eq!(batch.owner.seen(), at);
+    assert_eq!(batch.owner.last_seen(), at);
 }
--- a/crates/rollout/tests/reachable_machines.rs
+++ b/crates/rollout/tests/reachable_machines.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-use havenstage_rollout::checkpoint::{ControlCheckpoint, FORM};
+use havenstage_rollout::checkpoint::{ControlCheckpoint, FORMAT_VERSION};
 use havenstage_rollout::control::ControlState;
 use havenstage_rollout::control_record::ControlRecord;
 use havenstage_rollout::ids::MachineName;
@@ -96,7 +96,7 @@
         .some_others(&MachineName::from("reader"), 1, 0);
     assert_eq!(others, [address]);
     let before = ControlCheckpoint {
-        form: FORM - 1,
+        form: FORMAT_VERSION - 1,
         reachable: ReachableAddresses::new(),
         ..written
     };
