--- a/crates/rollout/src/circuit_breaker.rs
+++ b/crates/rollout/src/circuit_breaker.rs
@@ -1,138 +1,147 @@
-//! A circuit breaker for each back end: whether it is given new items after runs failed there.
+//! Circuit breaker of a back end: whether the back end gets new items after runs failed there.
 //!
-//! The load that this answers: a back end that breaks connections at once looks empty, so that all waiting items are
-//! sent to it again and again. It opens with the first run that fails quickly, or with some runs cut short together;
-//! failures while it is open say nothing new. When its time is over, one item is sent as a probe, and the first event
-//! of that closes it. What a run brings that began before it opened does not: a back end may fail new connections
-//! while it serves those that it has.
+//! A back end that breaks every connection at once looks empty, so that without a breaker all waiting items would be
+//! sent to it again and again. The breaker opens on the first run that fails without progress, or on several runs that
+//! are cut short within a short time. Failures while it is open are ignored. When the open time is over, the breaker is
+//! half-open: one item is sent as a probe, and the first event of the probe closes the breaker. Events of runs that
+//! started before the breaker opened do not close it, because a back end may fail new connections while it serves
+//! existing ones.
 
 use crate::Millis;
 
-/// First time for which a breaker stays open; doubles each time that it opens again soon.
+/// Time for which the breaker stays open at first. It doubles each time the breaker opens again soon.
 const FIRST_OPEN_MS: Millis = 250;
-/// Doublings of that time, at most.
-const MOST_DOUBLINGS: u32 = 3;
-/// Time without a failure after which earlier ones no longer make the next opening longer.
-const FORGET_MS: Millis = 10_000;
-/// Time after which a probe of which nothing was heard no longer keeps others away: its item may have ended
-/// without a word of the back end.
-const PROBE_MS: Millis = 1_000;
-/// Runs cut short together that open it: a single one may be a connection's own fault.
-const CUTS_TO_OPEN: u32 = 3;
-/// Time within which runs count as cut short together.
-const CUTS_TOGETHER_MS: Millis = 250;
-/// Time for which a back end gets no items after it turned one away for want of a place.
-const TURNED_AWAY_MS: Millis = 60;
+/// Maximum number of doublings of [`FIRST_OPEN_MS`].
+const MAX_DOUBLINGS: u32 = 3;
+/// Time since the last opening after which the next one starts at [`FIRST_OPEN_MS`] again.
+const BACKOFF_RESET_MS: Millis = 10_000;
+/// Time after which a probe without any result no longer blocks the next one: its item may have ended without a
+/// response of the back end.
+const PROBE_TIMEOUT_MS: Millis = 1_000;
+/// Runs cut short within [`CUT_SHORT_WINDOW_MS`] that open the breaker. A single one may be a fault of its connection.
+const CUT_SHORT_RUNS_TO_OPEN: u32 = 3;
+/// Time within which cut-short runs are counted together.
+const CUT_SHORT_WINDOW_MS: Millis = 250;
+/// Time for which a back end gets no items after it rejected one because it had no free slot.
+const REJECTION_PAUSE_MS: Millis = 60;
 
-/// Which new items a back end may be given.
+/// Which new items a back end may get.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// Any.
+    /// Any number of items: the breaker is closed.
     All,
-    /// One, as a probe.
+    /// A single item, as a probe: the breaker is half-open.
     Probe,
-    /// None.
+    /// No items: the breaker is open, a probe is in flight, or the back end just rejected an item.
     None,
 }
 
-/// What is known of one back end's failures.
+/// State of one back end's circuit breaker. All times are on the caller's clock, in milliseconds.
 #[derive(Debug, Clone, Default)]
 pub struct CircuitBreaker {
     opening: Option<Opening>,
     doublings: u32,
     last_opened: Option<Millis>,
-    cuts: u32,
-    first_cut: Millis,
-    turned_away_until: Millis,
+    /// Runs cut short since `first_cut_short`.
+    cut_short_runs: u32,
+    first_cut_short: Millis,
+    paused_until: Millis,
 }
 
-/// An opening that no probe has ended yet.
+/// An opening of the breaker that no probe has ended yet.
 #[derive(Debug, Clone, Copy)]
 struct Opening {
-    at: Millis,
-    until: Millis,
-    /// When the last probe was sent.
-    probe: Option<Millis>,
+    opened_at: Millis,
+    open_until: Millis,
+    /// When the last probe was sent; `None` before the first one.
+    probe_sent_at: Option<Millis>,
 }
 
 impl CircuitBreaker {
-    /// A run that began at `began` failed without any progress. Answers for how long the breaker is open, if it
-    /// opens with this.
-    pub fn record_failure(&mut self, began: Millis, now: Millis) -> Option<Millis> {
-        let says_nothing_new = |opening: &Opening| now < opening.until || began <= opening.at;
-        if self.opening.as_ref().is_some_and(says_nothing_new) {
+    /// Records that a run that started at `started_at` failed without progress. Returns for how many milliseconds the
+    /// breaker opens, or `None` if this failure does not open it.
+    pub fn record_failure(&mut self, started_at: Millis, now: Millis) -> Option<Millis> {
+        let is_ignored =
+            |opening: &Opening| now < opening.open_until || started_at <= opening.opened_at;
+        if self.opening.as_ref().is_some_and(is_ignored) {
             return None;
         }
         Some(self.open(now))
     }
 
-    /// A run was cut short after it made progress. Answers as [`record_failure`](Self::record_failure) does.
+    /// Records that a run was cut short after it made progress. Returns the same as
+    /// [`record_failure`](Self::record_failure).
     pub fn record_cut_short(&mut self, now: Millis) -> Option<Millis> {
-        if self.cuts == 0 || now.saturating_sub(self.first_cut) > CUTS_TOGETHER_MS {
-            self.cuts = 0;
-            self.first_cut = now;
+        if self.cut_short_runs == 0
+            || now.saturating_sub(self.first_cut_short) > CUT_SHORT_WINDOW_MS
+        {
+            self.cut_short_runs = 0;
+            self.first_cut_short = now;
         }
-        self.cuts += 1;
-        if self.cuts < CUTS_TO_OPEN {
+        self.cut_short_runs += 1;
+        if self.cut_short_runs < CUT_SHORT_RUNS_TO_OPEN {
             return None;
         }
         self.record_failure(now, now)
     }
 
-    /// A run that began at `began` brought an event or a whole answer. Answers whether that closes the breaker.
-    pub fn record_answer(&mut self, began: Millis) -> bool {
-        let closes = self.opening.is_some_and(|opening| began > opening.at);
+    /// Records that a run that started at `started_at` received an event or a whole response. Returns whether that
+    /// closes the breaker.
+    pub fn record_answer(&mut self, started_at: Millis) -> bool {
+        let closes = self
+            .opening
+            .is_some_and(|opening| started_at > opening.opened_at);
         if closes {
             self.opening = None;
-            self.cuts = 0;
+            self.cut_short_runs = 0;
         }
         closes
     }
 
-    /// It had no place for an item.
+    /// Records that the back end rejected an item because it had no free slot.
     pub fn record_rejection(&mut self, now: Millis) {
-        self.turned_away_until = now + TURNED_AWAY_MS;
+        self.paused_until = now + REJECTION_PAUSE_MS;
     }
 
-    /// A run begins there.
+    /// Records that a run starts on the back end. While the breaker is not closed, the run is the probe.
     pub fn record_start(&mut self, now: Millis) {
         if let Some(opening) = &mut self.opening {
-            opening.probe = Some(now);
+            opening.probe_sent_at = Some(now);
         }
     }
 
-    /// Which new items it may be given now.
+    /// Which new items the back end may get now.
     pub fn admission(&self, now: Millis) -> Admission {
-        if now < self.turned_away_until {
+        if now < self.paused_until {
             return Admission::None;
         }
         let Some(opening) = &self.opening else {
             return Admission::All;
         };
         let awaits_probe = opening
-            .probe
-            .is_some_and(|sent| now.saturating_sub(sent) < PROBE_MS);
-        if now < opening.until || awaits_probe {
+            .probe_sent_at
+            .is_some_and(|sent| now.saturating_sub(sent) < PROBE_TIMEOUT_MS);
+        if now < opening.open_until || awaits_probe {
             return Admission::None;
         }
         Admission::Probe
     }
 
     fn open(&mut self, now: Millis) -> Millis {
-        let is_again = self
+        let opened_recently = self
             .last_opened
-            .is_some_and(|last| now.saturating_sub(last) <= FORGET_MS);
-        self.doublings = match is_again {
-            true => (self.doublings + 1).min(MOST_DOUBLINGS),
+            .is_some_and(|last| now.saturating_sub(last) <= BACKOFF_RESET_MS);
+        self.doublings = match opened_recently {
+            true => (self.doublings + 1).min(MAX_DOUBLINGS),
             false => 0,
         };
         let open_ms = FIRST_OPEN_MS << self.doublings;
         self.last_opened = Some(now);
-        self.cuts = 0;
+        self.cut_short_runs = 0;
         self.opening = Some(Opening {
-            at: now,
-            until: now + open_ms,
-            probe: None,
+            opened_at: now,
+            open_until: now + open_ms,
+            probe_sent_at: None,
         });
         open_ms
     }
--- a/crates/rollout/src/expected_length.rs
+++ b/crates/rollout/src/expected_length.rs
@@ -1,46 +1,47 @@
-//! How much output an item still gives, from the caller's guess and what items of its pool gave.
+//! Estimates the remaining output of an item from the caller's estimate and the finished items of its pool.
 //!
-//! Lengths have long tails, and guesses are right at the median but often far off. So what is left
-//! of an item that has not ended is the mean of what was left, at the same share of their guesses,
-//! of finished items that got that far. It rises as an item outgrows its guess.
+//! Lengths have long tails, and callers' estimates are right at the median but often far off. So the
+//! remaining length of a running item is the mean remaining length of those finished items that reached
+//! the same ratio of generated to estimated tokens. The result grows as an item exceeds its estimate.
 
 use std::collections::VecDeque;
 
-/// Finished items that are remembered for each pool.
-const MOST_REMEMBERED: usize = 256;
-/// Finished items that got as far, without which their mean says nothing.
-const FEWEST_COMPARABLE: usize = 4;
-/// Finished items from which on the longest of them bounds what is expected.
-const FEWEST_FOR_BOUND: usize = 64;
+/// Finished items kept in the history of a pool.
+const MAX_HISTORY_ITEMS: usize = 256;
+/// Minimum number of finished items that got as far as the item in question; the mean of fewer is unreliable.
+const MIN_COMPARABLE_ITEMS: usize = 4;
+/// Minimum number of finished items before the longest of them bounds the expected length.
+const MIN_ITEMS_FOR_BOUND: usize = 64;
 
-/// Lengths of the finished items of a pool, relative to what was guessed of them.
+/// Lengths of the latest finished items of a pool, relative to the callers' estimates.
 #[derive(Debug, Clone, Default)]
 pub struct LengthHistory {
-    /// Tokens made and their ratio to the guess, in the order of their ends.
+    /// Generated tokens and their ratio to the estimate, oldest item first.
     finished: VecDeque<(u32, f64)>,
-    /// Ratios in rising order.
+    /// Ratios in ascending order.
     ratios: Vec<f64>,
-    /// Sum of the ratios from each position on.
-    sums_from: Vec<f64>,
-    longest: u32,
+    /// Sum of the ratios from each position to the end.
+    suffix_sums: Vec<f64>,
+    /// Generated tokens of the longest item in the history.
+    longest_tokens: u32,
 }
 
 impl LengthHistory {
-    /// An item ended whole.
-    pub fn record_finished(&mut self, guessed_tokens: u32, made_tokens: u32) {
-        if self.finished.len() == MOST_REMEMBERED {
+    /// Adds an item whose output is complete. Drops the oldest item if the history is full.
+    pub fn record_finished(&mut self, estimated_tokens: u32, generated_tokens: u32) {
+        if self.finished.len() == MAX_HISTORY_ITEMS {
             self.finished.pop_front();
         }
-        let ratio = f64::from(made_tokens) / f64::from(guessed_tokens.max(1));
-        self.finished.push_back((made_tokens, ratio));
-        self.prepare();
+        let ratio = f64::from(generated_tokens) / f64::from(estimated_tokens.max(1));
+        self.finished.push_back((generated_tokens, ratio));
+        self.update_statistics();
     }
 
-    fn prepare(&mut self) {
-        self.longest = self
+    fn update_statistics(&mut self) {
+        self.longest_tokens = self
             .finished
             .iter()
-            .map(|(made, _)| *made)
+            .map(|(generated, _)| *generated)
             .max()
             .unwrap_or(0);
         self.ratios = self.finished.iter().map(|(_, ratio)| *ratio).collect();
@@ -50,47 +51,48 @@
             sum += ratio;
             sum
         });
-        self.sums_from = sums.collect();
-        self.sums_from.reverse();
+        self.suffix_sums = sums.collect();
+        self.suffix_sums.reverse();
     }
 
-    /// Tokens still expected of an item that made so many; at least one.
-    pub fn expected_remaining(&self, guessed_tokens: u32, made_tokens: u32) -> u32 {
+    /// Tokens still expected of an item that generated `generated_tokens` so far; at least 1.
+    pub fn expected_remaining(&self, estimated_tokens: u32, generated_tokens: u32) -> u32 {
         let expected = self
-            .expected_whole(guessed_tokens, made_tokens)
-            .unwrap_or_else(|| guess_or_double(guessed_tokens, made_tokens));
-        self.bounded(expected, made_tokens)
-            .saturating_sub(made_tokens)
+            .expected_length(estimated_tokens, generated_tokens)
+            .unwrap_or_else(|| estimate_or_double(estimated_tokens, generated_tokens));
+        self.limit_to_longest(expected, generated_tokens)
+            .saturating_sub(generated_tokens)
             .max(1)
     }
 
-    /// Mean length of finished items that got as far, scaled to the guess.
-    fn expected_whole(&self, guessed_tokens: u32, made_tokens: u32) -> Option<u32> {
-        let guessed = f64::from(guessed_tokens.max(1));
-        let reached = f64::from(made_tokens) / guessed;
+    /// Expected total length: the mean length of finished items that got as far, scaled to the estimate. `None` if
+    /// there are too few of them.
+    fn expected_length(&self, estimated_tokens: u32, generated_tokens: u32) -> Option<u32> {
+        let estimated = f64::from(estimated_tokens.max(1));
+        let reached = f64::from(generated_tokens) / estimated;
         let from = self.ratios.partition_point(|ratio| *ratio <= reached);
         let comparable = self.ratios.len() - from;
-        if comparable < FEWEST_COMPARABLE {
+        if comparable < MIN_COMPARABLE_ITEMS {
             return None;
         }
-        Some((guessed * self.sums_from[from] / comparable as f64) as u32)
+        Some((estimated * self.suffix_sums[from] / comparable as f64) as u32)
     }
 
-    /// No item is expected to be longer than all that ended, unless it already is.
-    fn bounded(&self, expected: u32, made_tokens: u32) -> u32 {
-        if self.finished.len() < FEWEST_FOR_BOUND || made_tokens >= self.longest {
+    /// Limits the expected length to that of the longest finished item, unless the item is already as long.
+    fn limit_to_longest(&self, expected: u32, generated_tokens: u32) -> u32 {
+        if self.finished.len() < MIN_ITEMS_FOR_BOUND || generated_tokens >= self.longest_tokens {
             return expected;
         }
-        expected.min(self.longest)
+        expected.min(self.longest_tokens)
     }
 }
 
-/// Without finished items to compare with, an item that has outgrown its guess is expected to go on
-/// for as long again as it already has.
-fn guess_or_double(guessed_tokens: u32, made_tokens: u32) -> u32 {
-    if made_tokens < guessed_tokens {
-        guessed_tokens
+/// Expected total length without finished items to compare with: the caller's estimate, or twice the generated
+/// tokens once the item has reached its estimate.
+fn estimate_or_double(estimated_tokens: u32, generated_tokens: u32) -> u32 {
+    if generated_tokens < estimated_tokens {
+        estimated_tokens
     } else {
-        made_tokens.saturating_mul(2)
+        generated_tokens.saturating_mul(2)
     }
 }
--- a/crates/rollout/src/pacing.rs
+++ b/crates/rollout/src/pacing.rs
@@ -1,26 +1,27 @@
-//! How often a node reads the streams, so that all nodes together keep within the log's limit.
+//! Pacing of stream reads, so that all nodes together stay within the log's limit on read calls.
 //!
-//! Every append wakes every reader. With few machines all read at once; with many, a node waits
-//! between two reads of a stream that nobody asks it about.
+//! Every append wakes every reader. With few machines, all of them read at once. With many, a node waits
+//! between two reads of a stream that no client asks it about.
 
 use crate::Millis;
 
-/// Machines up to which all may read at once.
-const UNPACED_MACHINES: usize = 40;
-/// Share of the log's reading calls that paced reads may use; the rest is for directories, for nodes
-/// that run batches, and for readers that ask.
+/// Maximum number of machines that read without waiting.
+const MAX_UNPACED_MACHINES: usize = 40;
+/// Share of the log's read calls that paced reads may use. The rest is for directories, for nodes that run
+/// batches, and for reads on behalf of clients.
 const PACED_SHARE: f64 = 0.5;
 
-/// The pace of a node among `machines`.
+/// How fast a node reads the streams.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Pace {
-    /// Wait between two reads of a stream.
+    /// Wait between two reads of a stream, in milliseconds; 0 means no wait.
     pub gap_ms: Millis,
 }
 
-/// The pace that keeps `machines`, each reading `streams`, within their share of `reads_per_s`.
+/// The pace at which `machines` machines that each read `streams` streams stay within the share of `reads_per_s`, the
+/// log's limit on read calls per second, that is left to paced reads.
 pub fn pace(machines: usize, streams: usize, reads_per_s: u32) -> Pace {
-    if machines <= UNPACED_MACHINES {
+    if machines <= MAX_UNPACED_MACHINES {
         return Pace { gap_ms: 0 };
     }
     let per_second = f64::from(reads_per_s.max(1)) * PACED_SHARE;
--- a/crates/rollout/src/schedule/mod.rs
+++ b/crates/rollout/src/schedule/mod.rs
@@ -1,12 +1,12 @@
-//! Which item runs next, on which back end, and which one is moved.
+//! Scheduling of batch items: which item runs next, on which back end, and which running items move.
 
-mod claim;
+mod expected_end;
+mod fair_share;
 mod memory;
-mod order;
 mod placement;
+mod probe;
 mod relocation;
 mod required_groups;
-mod trial;
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -14,45 +14,45 @@
 use crate::ids::{BackendId, BatchId, GroupId, ItemId, ModelName, RegionName, Version};
 use crate::residency::Residency;
 
-pub use claim::{Claim, prioritize_waiting, urgency};
+pub use expected_end::sort_by_expected_end;
+pub use fair_share::{Claim, prioritize_waiting, urgency};
 pub use memory::{ItemTokens, TokenMemory};
-pub use order::sort_by_expected_end;
 pub use placement::choose_backend;
+pub use probe::assign_probes;
 pub use relocation::{Relocation, RunningItem, plan_relocations};
 pub use required_groups::optional_items;
-pub use trial::assign_probes;
 
-/// An item that waits for a place.
+/// An item that waits for a slot on a back end.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WaitingItem {
-    /// Batch.
+    /// The batch that the item belongs to.
     pub batch: BatchId,
-    /// Item.
+    /// Identifies the item within its batch.
     pub item: ItemId,
-    /// Whether its step can be whole without it.
+    /// Whether the training step can complete without this item.
     pub is_optional: bool,
-    /// On whose behalf it runs.
+    /// The tenant or route that the item runs for, and how urgent it is.
     pub claim: Claim,
-    /// Tokens still expected.
+    /// Output tokens that the item is still expected to generate.
     pub expected_tokens: u32,
-    /// Tokens of its prompt and of its output so far.
+    /// Tokens of the prompt and of the output generated so far.
     pub held_tokens: u32,
-    /// When its batch was first seen.
+    /// When this node first saw the batch.
     pub batch_first_seen: Millis,
-    /// Model it needs.
+    /// Model that the item needs; `None` if any back end of the pool will do.
     pub model: Option<ModelName>,
-    /// Oldest version it may run on.
+    /// Oldest version of the model that the item may run on.
     pub minimum_version: Version,
-    /// The only version it may run on, where its output so far binds it to one.
+    /// The only version that the item may run on, if its output so far binds it to one.
     pub exact_version: Option<Version>,
-    /// Group, to place items with the same prompt together.
+    /// Group of items with the same prompt, used to place them together.
     pub group: Option<GroupId>,
-    /// Where it may run.
+    /// Regions in which the item may run.
     pub residency: Residency,
 }
 
 impl WaitingItem {
-    /// Its tokens in a back end's memory.
+    /// Tokens that the item holds in a back end's memory, now and later.
     pub fn tokens(&self) -> ItemTokens {
         ItemTokens {
             held: self.held_tokens,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Whether it may run on a version.
+    /// Whether the item may run on `version` of its model.
     pub fn allows(&self, version: Version) -> bool {
         match self.exact_version {
             Some(exact) => version == exact,
@@ -69,31 +69,31 @@
     }
 }
 
-/// A place that an item may take.
+/// A back end that items may be placed on.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Candidate {
-    /// The back end.
+    /// Identifies the back end.
     pub backend: BackendId,
-    /// Region it stands in, if that is known.
+    /// Region of the back end; `None` if unknown.
     pub region: Option<RegionName>,
-    /// Items that run there now, of all nodes.
+    /// Items that run there now, counted over all nodes.
     pub running: u32,
-    /// Items it may run at a time: its places, or fewer while it is cold.
+    /// Items that may run there at a time; fewer than the back end has while it warms up or is half-open.
     pub slots: u32,
-    /// Its memory, in tokens.
+    /// Memory of the back end, in tokens.
     pub memory: TokenMemory,
     /// Milliseconds between two events of a stream there.
     pub event_gap_ms: f64,
-    /// Whether it failed before and is given one item to see if it does still.
+    /// Whether the back end failed earlier and its circuit breaker now admits one item as a probe.
     pub is_half_open: bool,
-    /// Versions of its models.
+    /// Models that the back end serves, with the version of each.
     pub models: BTreeMap<ModelName, Version>,
-    /// Groups whose prompt it holds.
+    /// Groups whose prompt the back end already holds.
     pub groups: HashSet<GroupId>,
 }
 
 impl Candidate {
-    /// Places that are free for any item.
+    /// Number of free slots; none while the back end is half-open.
     pub fn free_slots(&self) -> usize {
         if self.is_half_open {
             return 0;
@@ -101,26 +101,26 @@
         self.slots.saturating_sub(self.running) as usize
     }
 
-    /// An item takes a place there.
+    /// Counts `item` as running on this back end.
     pub fn add_item(&mut self, item: &WaitingItem) {
         self.running += 1;
         self.memory.add(item.tokens());
         self.groups.extend(item.group.clone());
     }
 
-    /// An item gives its place back.
+    /// Stops counting `item` as running on this back end.
     pub fn remove_item(&mut self, item: &WaitingItem) {
         self.running = self.running.saturating_sub(1);
         self.memory.remove(item.tokens());
     }
 
-    /// Whether the item may run there now: not where it would be on trial.
+    /// Whether the item may run there now. Always false while the back end is half-open.
     pub fn accepts(&self, item: &WaitingItem) -> bool {
-        !self.is_half_open && self.has_place_for(item)
+        !self.is_half_open && self.has_slot_for(item)
     }
 
-    /// Whether it has a free place and new enough weights for the item.
-    fn has_place_for(&self, item: &WaitingItem) -> bool {
+    /// Whether the back end has a free slot and a suitable region and weights version for the item.
+    fn has_slot_for(&self, item: &WaitingItem) -> bool {
         let is_allowed = item.residency.allows(self.region.as_ref());
         self.running < self.slots && is_allowed && self.has_version_for(item)
     }
--- a/crates/rollout/src/schedule/placement.rs
+++ b/crates/rollout/src/schedule/placement.rs
@@ -1,23 +1,23 @@
-//! Which back end an item runs on.
+//! Choice of the back end that an item runs on.
 //!
-//! A step of a back end takes longer the more tokens its items hold in memory, and a trainer's step
-//! lasts as long as its longest item. So items go where the fewest tokens are expected, which keeps
-//! long ones apart from each other and short ones away from them, and never, while there is another
-//! place, where the memory would run out.
+//! A decode step of a back end takes longer the more tokens its items hold in memory, and a training
+//! step lasts as long as its longest item. So items go where the fewest tokens are expected, which
+//! keeps long items apart from each other and short items away from long ones. A back end whose memory
+//! would run out is used only if there is no other.
 
 use super::{Candidate, WaitingItem};
 
-/// Growth of a step's time with each item that runs beside, where the memory is not known.
-const STEP_COST_PER_ITEM: f64 = 0.033;
-/// Cost of a full memory, as a share of a step's time. More than what a step grows by, so that
-/// differences in speed within the noise of their measurement don't crowd items together, and less
-/// than what slow machines cost.
+/// Share by which each running item lengthens a decode step, used if the memory capacity is unknown.
+const COST_PER_ITEM: f64 = 0.033;
+/// Cost of a full memory, as a share of a decode step's time. It is more than a full memory lengthens the
+/// step, so that speed differences within measurement noise do not crowd items onto one back end, and less
+/// than the cost of a slow machine.
 const FULL_MEMORY_COST: f64 = 1.0;
-/// Cost of reading a prompt again, as a share of a step's time.
-const PROMPT_READ_COST: f64 = 0.05;
+/// Cost of prefilling a prompt that the back end does not hold, as a share of a decode step's time.
+const PREFILL_COST: f64 = 0.05;
 
-/// The best place for an item, or none. One where the memory would run out is taken only for want
-/// of others, and then the one that lacks the least.
+/// The back end with the lowest cost for the item, or `None` if none accepts it. If the memory would run
+/// out on every back end that accepts it, the one with the smallest shortage is chosen.
 pub fn choose_backend<'a>(
     item: &WaitingItem,
     candidates: &'a [Candidate],
@@ -40,20 +40,20 @@
 }
 
 impl Candidate {
-    /// What running an item there costs, in milliseconds for each of its events.
+    /// Cost of running the item there, in milliseconds for each of its events.
     pub(super) fn cost_for(&self, item: &WaitingItem) -> f64 {
-        let reread = match &item.group {
-            Some(group) if !self.groups.contains(group) => PROMPT_READ_COST,
+        let prefill_cost = match &item.group {
+            Some(group) if !self.groups.contains(group) => PREFILL_COST,
             _ => 0.0,
         };
-        (1.0 + self.crowd_cost(item) + reread) * self.event_gap_ms
+        (1.0 + self.sharing_cost(item) + prefill_cost) * self.event_gap_ms
     }
 
-    /// What a step takes longer for what runs there, this item among it.
-    fn crowd_cost(&self, item: &WaitingItem) -> f64 {
+    /// Cost of sharing the back end, as a share of a decode step's time, with this item included.
+    fn sharing_cost(&self, item: &WaitingItem) -> f64 {
         match self.memory.share_with(item.tokens()) {
             Some(share) => FULL_MEMORY_COST * share,
-            None => STEP_COST_PER_ITEM * f64::from(self.running + 1),
+            None => COST_PER_ITEM * f64::from(self.running + 1),
         }
     }
 }
--- a/crates/rollout/src/schedule/relocation.rs
+++ b/crates/rollout/src/schedule/relocation.rs
@@ -1,55 +1,56 @@
-//! Moves of running items to back ends where they end sooner.
+//! Relocation of running items to back ends where they end sooner.
 
 use crate::Millis;
 use crate::ids::BackendId;
 
 use super::{Candidate, WaitingItem};
 
-/// An item that runs and may be moved to a faster back end.
+/// A running item that may move to a faster back end.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RunningItem {
-    /// The item, with the version and model it needs.
+    /// The item, with what it needs of a back end.
     pub item: WaitingItem,
-    /// Where it runs.
+    /// The back end that the item runs on.
     pub backend: BackendId,
-    /// For how long.
+    /// Time, in milliseconds, since the current run started.
     pub running_ms: Millis,
-    /// Events still expected.
+    /// Stream events that are still expected of the item.
     pub expected_events: u32,
-    /// How often it was moved already.
+    /// Number of earlier relocations of the item.
     pub moves: u32,
 }
 
 impl RunningItem {
-    /// Whether it ran long enough where it is to be moved. The time doubles with each move: where
-    /// many back ends are slow or short of memory, each looks better than the one before it.
+    /// Whether the item ran long enough on its back end to move. The required time doubles with each move:
+    /// if many back ends are slow or short of memory, each one looks better than the current one, and the
+    /// item would keep moving.
     fn is_settled(&self) -> bool {
-        let doublings = self.moves.min(MOST_SETTLING_DOUBLINGS);
+        let doublings = self.moves.min(MAX_SETTLING_DOUBLINGS);
         self.running_ms >= SETTLING_MS << doublings
     }
 }
 
-/// A move of a running item.
+/// Move of a running item to another back end.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Relocation {
-    /// The item.
+    /// The item that moves.
     pub item: WaitingItem,
-    /// Where it goes on.
+    /// The back end on which the item continues.
     pub to: BackendId,
 }
 
-/// How much faster another back end must be for a move to pay: gaps that differ less may only be
-/// those of fuller and emptier batches.
-const WORTHWHILE_SPEED_UP: f64 = 1.2;
-/// Time that a move must save: ending a run, connecting elsewhere and reading the prompt and the
-/// output again take some of it, and how long an item still runs is only a guess.
-const WORTHWHILE_SAVING_MS: f64 = 400.0;
-/// Time that an item runs before it may be moved.
+/// Minimum speed-up for a move. A smaller difference of event gaps may only reflect how full the decode
+/// batches of the back ends are.
+const MIN_SPEED_UP: f64 = 1.2;
+/// Minimum time that a move must save. Ending the run, connecting to the other back end and prefilling the
+/// prompt and output there use up part of it, and the remaining length of an item is only an estimate.
+const MIN_SAVING_MS: f64 = 400.0;
+/// Time that an item runs on a back end before its first move.
 const SETTLING_MS: Millis = 400;
-/// Doublings of that time, at most.
-const MOST_SETTLING_DOUBLINGS: u32 = 4;
+/// Maximum number of doublings of [`SETTLING_MS`].
+const MAX_SETTLING_DOUBLINGS: u32 = 4;
 
-/// Moves of items to free places on back ends where they end clearly sooner, the longest first.
+/// Plans moves of items to free slots on back ends where they end clearly sooner, longest items first.
 pub fn plan_relocations(
     mut running: Vec<RunningItem>,
     mut candidates: Vec<Candidate>,
@@ -76,14 +77,16 @@
 
 fn best_target(running: &RunningItem, candidates: &[Candidate], from: usize) -> Option<usize> {
     let here_ms = candidates[from].event_gap_ms;
-    let pays = |target: &Candidate| {
+    let is_worthwhile = |target: &Candidate| {
         let saved_ms = f64::from(running.expected_events) * (here_ms - target.event_gap_ms);
-        here_ms > target.event_gap_ms * WORTHWHILE_SPEED_UP && saved_ms > WORTHWHILE_SAVING_MS
+        here_ms > target.event_gap_ms * MIN_SPEED_UP && saved_ms > MIN_SAVING_MS
     };
     let fitting = candidates
         .iter()
         .enumerate()
-        .filter(|(at, target)| *at != from && target.accepts(&running.item) && pays(target))
+        .filter(|(at, target)| {
+            *at != from && target.accepts(&running.item) && is_worthwhile(target)
+        })
         .filter(|(_, target)| target.memory.fits(running.item.tokens()));
     fitting
         .min_by(|left, right| {
