--- a/crates/rollout/tests/circuit_breaker.rs
+++ b/crates/rollout/tests/circuit_breaker.rs
@@ -1,26 +1,26 @@
-//! Whether a back end is given items after runs failed there.
+//! The circuit breaker of a back end: when it opens, is half-open and closes.
 
 use havenstage_rollout::circuit_breaker::{Admission, CircuitBreaker};
 
-/// A breaker that opened at 1,000 with a run that began at 980.
-fn opened() -> CircuitBreaker {
+/// A breaker that opened at 1,000 on the failure of a run that started at 980.
+fn open_breaker() -> CircuitBreaker {
     let mut breaker = CircuitBreaker::default();
     assert_eq!(breaker.record_failure(980, 1_000), Some(250));
     breaker
 }
 
 #[test]
-fn the_first_quick_failure_opens_it() {
-    let breaker = opened();
+fn the_first_failure_without_progress_opens_it() {
+    let breaker = open_breaker();
     assert_eq!(breaker.admission(1_000), Admission::None);
     assert_eq!(breaker.admission(1_249), Admission::None);
     assert_eq!(breaker.admission(1_250), Admission::Probe);
 }
 
-/// Eight runs that break together with one engine are one event, not eight.
+/// The failures of eight runs that break together with their back end count as one.
 #[test]
-fn failures_of_runs_from_before_do_not_lengthen_it() {
-    let mut breaker = opened();
+fn failures_of_runs_started_before_it_opened_do_not_extend_it() {
+    let mut breaker = open_breaker();
     for at in 1_000..1_008 {
         assert_eq!(breaker.record_failure(980, at), None);
     }
@@ -34,7 +34,7 @@
 
 #[test]
 fn one_probe_is_sent_at_a_time() {
-    let mut breaker = opened();
+    let mut breaker = open_breaker();
     breaker.record_start(1_260);
     assert_eq!(breaker.admission(1_300), Admission::None);
     assert!(breaker.record_answer(1_260));
@@ -42,16 +42,16 @@
 }
 
 #[test]
-fn a_probe_of_which_nothing_is_heard_does_not_bar_it_for_good() {
-    let mut breaker = opened();
+fn a_probe_without_any_result_does_not_block_the_next_one_forever() {
+    let mut breaker = open_breaker();
     breaker.record_start(1_260);
     assert_eq!(breaker.admission(2_259), Admission::None);
     assert_eq!(breaker.admission(2_260), Admission::Probe);
 }
 
 #[test]
-fn each_probe_that_fails_doubles_its_time_up_to_a_bound() {
-    let mut breaker = opened();
+fn each_failed_probe_doubles_the_open_time_up_to_a_bound() {
+    let mut breaker = open_breaker();
     let mut now = 1_250;
     for open_ms in [500, 1_000, 2_000, 2_000] {
         breaker.record_start(now);
@@ -62,18 +62,19 @@
     }
 }
 
-/// An engine breaks new connections and serves the streams that it has. Any whole run cleared its pause.
+/// A back end may break new connections while it serves existing streams. If any complete run closed the breaker,
+/// such a back end would get new items again at once.
 #[test]
-fn a_run_that_began_before_does_not_close_it() {
-    let mut breaker = opened();
+fn a_run_started_before_it_opened_does_not_close_it() {
+    let mut breaker = open_breaker();
     assert!(!breaker.record_answer(400));
     assert_eq!(breaker.admission(1_100), Admission::None);
 }
 
-/// It fails a part of its requests: a probe's success must not make it forget.
+/// A back end may fail only some of its requests, so a successful probe must not reset the open time.
 #[test]
-fn one_that_closed_and_fails_again_soon_opens_for_longer() {
-    let mut breaker = opened();
+fn it_opens_for_longer_if_it_opened_recently() {
+    let mut breaker = open_breaker();
     breaker.record_start(1_260);
     assert!(breaker.record_answer(1_260));
     assert_eq!(breaker.record_failure(1_300, 1_330), Some(500));
@@ -87,7 +88,7 @@
 }
 
 #[test]
-fn runs_cut_short_open_it_only_together() {
+fn runs_cut_short_open_it_only_within_a_short_time() {
     let mut breaker = CircuitBreaker::default();
     assert_eq!(breaker.record_cut_short(1_000), None);
     assert_eq!(breaker.record_cut_short(1_300), None);
@@ -98,7 +99,7 @@
 }
 
 #[test]
-fn one_without_a_place_is_left_alone_for_a_moment() {
+fn a_back_end_that_rejected_an_item_gets_none_for_a_moment() {
     let mut breaker = CircuitBreaker::default();
     breaker.record_rejection(1_000);
     assert_eq!(breaker.admission(1_059), Admission::None);
--- a/crates/rollout/tests/load_limit.rs
+++ b/crates/rollout/tests/load_limit.rs
@@ -1,13 +1,13 @@
-//! Loads under way together: a share of the back ends, fewer while they slow each other down.
+//! Limit on concurrent loads of weights: a share of the back ends, lower while loads slow each other down.
 
 use havenstage_rollout::load_limit::LoadLimit;
 
-const LEAST: usize = 2;
-const USUAL_MS: u64 = 1_000;
+const MINIMUM: usize = 2;
+const QUICK_LOAD_MS: u64 = 1_000;
 
 #[test]
-fn a_share_of_the_back_ends_loads_together() {
-    let limit = LoadLimit::new(LEAST);
+fn a_share_of_the_back_ends_may_load_at_the_same_time() {
+    let limit = LoadLimit::new(MINIMUM);
     let allowed: Vec<usize> = [1, 8, 9, 35, 680]
         .into_iter()
         .map(|backends| limit.allowed(backends))
@@ -16,33 +16,33 @@
 }
 
 #[test]
-fn slow_loads_make_it_shrink_but_never_below_the_least() {
-    let mut limit = LoadLimit::new(LEAST);
-    limit.record_load(USUAL_MS, 2);
-    limit.record_load(2 * USUAL_MS, 10);
+fn slow_loads_lower_the_limit_but_never_below_the_minimum() {
+    let mut limit = LoadLimit::new(MINIMUM);
+    limit.record_load(QUICK_LOAD_MS, 2);
+    limit.record_load(2 * QUICK_LOAD_MS, 10);
     assert_eq!(limit.allowed(50), 7);
     for _ in 0..50 {
-        limit.record_load(2 * USUAL_MS, 10);
+        limit.record_load(2 * QUICK_LOAD_MS, 10);
     }
-    assert_eq!(limit.allowed(50), LEAST);
+    assert_eq!(limit.allowed(50), MINIMUM);
 }
 
 #[test]
-fn quick_loads_bring_it_back() {
-    let mut limit = LoadLimit::new(LEAST);
-    limit.record_load(USUAL_MS, 2);
-    limit.record_load(3 * USUAL_MS, 10);
+fn quick_loads_raise_the_limit_again() {
+    let mut limit = LoadLimit::new(MINIMUM);
+    limit.record_load(QUICK_LOAD_MS, 2);
+    limit.record_load(3 * QUICK_LOAD_MS, 10);
     for _ in 0..20 {
-        limit.record_load(USUAL_MS, 5);
+        limit.record_load(QUICK_LOAD_MS, 5);
     }
     assert_eq!(limit.allowed(50), 10);
 }
 
-/// A slow back end that loads alone says nothing of the weight store.
+/// A slow load of a single back end says nothing about the weight store.
 #[test]
-fn a_lone_slow_load_changes_nothing() {
-    let mut limit = LoadLimit::new(LEAST);
-    limit.record_load(USUAL_MS, 1);
-    limit.record_load(5 * USUAL_MS, 1);
+fn a_single_slow_load_does_not_lower_the_limit() {
+    let mut limit = LoadLimit::new(MINIMUM);
+    limit.record_load(QUICK_LOAD_MS, 1);
+    limit.record_load(5 * QUICK_LOAD_MS, 1);
     assert_eq!(limit.allowed(50), 10);
 }
--- a/crates/rollout/tests/pacing.rs
+++ b/crates/rollout/tests/pacing.rs
@@ -1,4 +1,4 @@
-//! All nodes together keep within the log's limit.
+//! Stream reads of all nodes together stay within the log's limit.
 
 use havenstage_rollout::pacing::pace;
 
@@ -6,13 +6,13 @@
 const READS_PER_S: u32 = 2_000;
 
 #[test]
-fn few_machines_read_at_once() {
+fn few_machines_read_without_waiting() {
     let pace = pace(12, STREAMS, READS_PER_S);
     assert_eq!(pace.gap_ms, 0);
 }
 
 #[test]
-fn many_machines_use_half_of_the_limit_at_most() {
+fn many_machines_use_at_most_half_of_the_limit() {
     for machines in [41, 100, 300, 414, 1_000] {
         let gap_ms = pace(machines, STREAMS, READS_PER_S).gap_ms;
         let reads_per_s = (machines * STREAMS) as f64 * 1_000.0 / gap_ms as f64;
--- a/crates/rollout/tests/schedule.rs
+++ b/crates/rollout/tests/schedule.rs
@@ -1,4 +1,4 @@
-//! Which item runs next, and where.
+//! Scheduling of items: their order, placement and relocation, and probes of half-open back ends.
 
 mod support;
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// A back end with a speed relative to one that makes an event each 40 ms.
+/// A back end whose speed is relative to one that sends an event every 40 ms.
 fn candidate(id: &str, running: u32, version: u64, speed: f64) -> Candidate {
     Candidate {
         backend: backend(id),
@@ -47,12 +47,12 @@
     }
 }
 
-fn chosen(candidates: &[Candidate]) -> Option<String> {
+fn chosen_backend(candidates: &[Candidate]) -> Option<String> {
     choose_backend(&waiting("item", false, 10), candidates).map(|chosen| chosen.backend.to_string())
 }
 
 #[test]
-fn the_longest_items_go_first_whether_their_step_needs_them_or_not() {
+fn the_longest_items_go_first_even_if_optional() {
     let mut items = [
         waiting("short", false, 5),
         waiting("optional", true, 500),
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn of_equally_long_items_that_of_the_older_batch_goes_first() {
+fn of_equally_long_items_the_one_of_the_older_batch_goes_first() {
     let mut older = waiting("older", true, 50);
     older.batch_first_seen = 1_000;
     let mut newer = waiting("newer", false, 60);
@@ -88,29 +88,29 @@
 #[test]
 fn a_full_or_outdated_back_end_is_not_chosen() {
     assert_eq!(
-        chosen(&[candidate("full", 8, 3, 1.0), candidate("old", 0, 2, 1.0)]),
+        chosen_backend(&[candidate("full", 8, 3, 1.0), candidate("old", 0, 2, 1.0)]),
         None
     );
     let with_room = [candidate("full", 8, 3, 1.0), candidate("room", 7, 3, 1.0)];
-    assert_eq!(chosen(&with_room).as_deref(), Some("room"));
+    assert_eq!(chosen_backend(&with_room).as_deref(), Some("room"));
 }
 
 #[test]
-fn a_slow_back_end_is_chosen_only_for_want_of_others() {
+fn a_slow_back_end_is_chosen_only_if_there_is_no_other() {
     let both = [candidate("slow", 0, 3, 0.3), candidate("usual", 6, 3, 1.0)];
-    assert_eq!(chosen(&both).as_deref(), Some("usual"));
-    assert_eq!(chosen(&both[..1]).as_deref(), Some("slow"));
+    assert_eq!(chosen_backend(&both).as_deref(), Some("usual"));
+    assert_eq!(chosen_backend(&both[..1]).as_deref(), Some("slow"));
 }
 
 #[test]
-fn a_prompt_that_is_there_breaks_a_tie() {
+fn a_back_end_that_holds_the_prompt_wins_a_tie() {
     let mut with_prompt = candidate("with", 1, 3, 1.0);
     with_prompt.groups.insert(GroupId::from("group"));
     let both = [candidate("alone", 1, 3, 1.0), with_prompt];
-    assert_eq!(chosen(&both).as_deref(), Some("with"));
+    assert_eq!(chosen_backend(&both).as_deref(), Some("with"));
 }
 
-fn by_guess(item: &ItemState) -> u32 {
+fn estimated_remaining(item: &ItemState) -> u32 {
     LengthHistory::default().expected_remaining(item.expected_tokens, item.events.len() as u32)
 }
 
@@ -124,13 +124,13 @@
     ];
     state.apply(submitted("batch", items, None), 0);
     let batch = state.batch(&BatchId::from("batch")).unwrap();
-    let optional = optional_items(batch, &HashSet::new(), by_guess);
+    let optional = optional_items(batch, &HashSet::new(), estimated_remaining);
     assert_eq!(
         optional,
         HashSet::from([ItemId::from("b"), ItemId::from("c")])
     );
     let carried = HashSet::from([ItemId::from("c")]);
-    let optional = optional_items(batch, &carried, by_guess);
+    let optional = optional_items(batch, &carried, estimated_remaining);
     assert_eq!(
         optional,
         HashSet::from([ItemId::from("a"), ItemId::from("b")])
@@ -148,7 +148,7 @@
     }
 }
 
-fn moved(running: Vec<RunningItem>, candidates: Vec<Candidate>) -> Vec<(String, String)> {
+fn planned_moves(running: Vec<RunningItem>, candidates: Vec<Candidate>) -> Vec<(String, String)> {
     let moves = plan_relocations(running, candidates);
     moves
         .into_iter()
@@ -157,39 +157,39 @@
 }
 
 #[test]
-fn items_leave_a_slow_back_end_for_free_places() {
+fn items_move_from_a_slow_back_end_to_free_slots() {
     let items = vec![
         running("short", "slow", 5, 900),
         running("long", "slow", 90, 900),
     ];
     let candidates = vec![candidate("slow", 2, 3, 0.3), candidate("free", 7, 3, 1.0)];
     assert_eq!(
-        moved(items, candidates),
+        planned_moves(items, candidates),
         [("long".to_owned(), "free".to_owned())]
     );
 }
 
 #[test]
-fn a_small_gain_a_fresh_start_and_old_weights_move_nothing() {
+fn nothing_moves_for_a_small_gain_after_a_recent_start_or_to_old_weights() {
     let item = || vec![running("item", "here", 50, 900)];
     assert!(
-        moved(
+        planned_moves(
             item(),
             vec![candidate("here", 4, 3, 0.9), candidate("other", 0, 3, 1.0)]
         )
         .is_empty()
     );
     assert!(
-        moved(
+        planned_moves(
             item(),
             vec![candidate("here", 4, 3, 0.2), candidate("old", 0, 2, 1.0)]
         )
         .is_empty()
     );
-    let fresh = vec![running("item", "here", 50, 100)];
+    let just_started = vec![running("item", "here", 50, 100)];
     assert!(
-        moved(
-            fresh,
+        planned_moves(
+            just_started,
             vec![candidate("here", 4, 3, 0.2), candidate("other", 0, 3, 1.0)]
         )
         .is_empty()
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn an_item_with_much_left_leaves_a_back_end_that_is_a_little_slower() {
+fn an_item_with_much_left_moves_from_a_back_end_that_is_a_little_slower() {
     let items = vec![
         running("long", "slower", 100, 900),
         running("nearly done", "slower", 10, 900),
@@ -219,30 +219,30 @@
         candidate("free", 3, 3, 1.0),
     ];
     assert_eq!(
-        moved(items, candidates),
+        planned_moves(items, candidates),
         [("long".to_owned(), "free".to_owned())]
     );
 }
 
 #[test]
-fn a_fuller_batch_alone_moves_nothing() {
+fn nothing_moves_only_because_a_decode_batch_is_fuller() {
     let item = vec![running("item", "full", 160, 900)];
     let candidates = vec![candidate("full", 8, 3, 0.9), candidate("empty", 0, 3, 1.0)];
-    assert!(moved(item, candidates).is_empty());
+    assert!(planned_moves(item, candidates).is_empty());
 }
 
 #[test]
-fn an_item_that_was_moved_often_stays_longer() {
+fn the_wait_before_a_move_doubles_with_each_earlier_move() {
     let candidates = || vec![candidate("slow", 4, 3, 0.3), candidate("free", 0, 3, 1.0)];
     let item = |moves, running_ms| {
         let mut item = running("item", "slow", 90, running_ms);
         item.moves = moves;
         vec![item]
     };
-    assert_eq!(moved(item(0, 400), candidates()).len(), 1);
-    assert!(moved(item(2, 1_500), candidates()).is_empty());
-    assert_eq!(moved(item(2, 1_600), candidates()).len(), 1);
-    assert_eq!(moved(item(40, 6_400), candidates()).len(), 1);
+    assert_eq!(planned_moves(item(0, 400), candidates()).len(), 1);
+    assert!(planned_moves(item(2, 1_500), candidates()).is_empty());
+    assert_eq!(planned_moves(item(2, 1_600), candidates()).len(), 1);
+    assert_eq!(planned_moves(item(40, 6_400), candidates()).len(), 1);
 }
 
 #[test]
@@ -257,7 +257,7 @@
     assert!(near.accepts(&restricted));
 }
 
-/// A back end whose memory takes 30,000 tokens, of which some are expected to be taken.
+/// A back end with a memory of 30,000 tokens, of which items of other nodes are expected to hold `expected`.
 fn with_memory(id: &str, running: u32, expected: u32, speed: f64) -> Candidate {
     Candidate {
         memory: TokenMemory {
@@ -269,7 +269,7 @@
     }
 }
 
-fn placed(tokens: u32, candidates: &[Candidate]) -> Option<String> {
+fn placed_on(tokens: u32, candidates: &[Candidate]) -> Option<String> {
     let chosen = choose_backend(&waiting("item", false, tokens), candidates);
     chosen.map(|chosen| chosen.backend.to_string())
 }
@@ -280,27 +280,27 @@
         with_memory("one long", 1, 11_000, 1.0),
         with_memory("five short", 5, 8_000, 1.0),
     ];
-    assert_eq!(placed(9_000, &both).as_deref(), Some("five short"));
-    assert_eq!(placed(500, &both).as_deref(), Some("five short"));
+    assert_eq!(placed_on(9_000, &both).as_deref(), Some("five short"));
+    assert_eq!(placed_on(500, &both).as_deref(), Some("five short"));
 }
 
 #[test]
-fn memory_does_not_drive_items_to_a_slow_back_end() {
+fn free_memory_does_not_make_a_slow_back_end_preferable() {
     let both = [
         with_memory("slow", 0, 0, 0.4),
         with_memory("usual", 4, 18_000, 1.0),
     ];
-    assert_eq!(placed(2_000, &both).as_deref(), Some("usual"));
+    assert_eq!(placed_on(2_000, &both).as_deref(), Some("usual"));
 }
 
 #[test]
-fn a_back_end_that_would_run_out_of_memory_is_taken_only_for_want_of_others() {
+fn a_back_end_that_would_run_out_of_memory_is_chosen_only_if_there_is_no_other() {
     let full = with_memory("full", 3, 25_000, 1.0);
     let fuller = with_memory("fuller", 3, 29_000, 1.0);
     let slow = with_memory("slow", 1, 1_000, 0.4);
     let three = [full.clone(), fuller.clone(), slow];
-    assert_eq!(placed(9_000, &three).as_deref(), Some("slow"));
-    assert_eq!(placed(9_000, &[fuller, full]).as_deref(), Some("full"));
+    assert_eq!(placed_on(9_000, &three).as_deref(), Some("slow"));
+    assert_eq!(placed_on(9_000, &[fuller, full]).as_deref(), Some("full"));
 }
 
 #[test]
@@ -309,18 +309,18 @@
         with_memory("busy", 1, 2_000, 1.0),
         with_memory("empty", 0, 0, 0.9),
     ];
-    assert_eq!(placed(50_000, &both).as_deref(), Some("empty"));
+    assert_eq!(placed_on(50_000, &both).as_deref(), Some("empty"));
 }
 
 #[test]
-fn a_memory_of_unknown_size_turns_nothing_away() {
+fn a_memory_of_unknown_capacity_accepts_every_item() {
     let mut unknown = candidate("unknown", 0, 3, 1.0);
     unknown.memory.other_nodes_tokens = 1_000_000;
-    assert_eq!(placed(9_000, &[unknown]).as_deref(), Some("unknown"));
+    assert_eq!(placed_on(9_000, &[unknown]).as_deref(), Some("unknown"));
 }
 
 #[test]
-fn items_placed_one_after_the_other_fill_memories_evenly() {
+fn items_placed_in_sequence_fill_memories_evenly() {
     let mut candidates: Vec<Candidate> = ["a", "b", "c"]
         .map(|id| with_memory(id, 0, 0, 1.0))
         .to_vec();
@@ -347,16 +347,16 @@
 }
 
 #[test]
-fn an_item_is_not_moved_to_where_the_memory_would_run_out() {
+fn an_item_does_not_move_to_a_back_end_whose_memory_would_run_out() {
     let item = || vec![running("item", "slow", 9_000, 900)];
     let slow = with_memory("slow", 1, 9_000, 0.3);
     let full = with_memory("full", 2, 25_000, 1.0);
-    assert!(moved(item(), vec![slow.clone(), full]).is_empty());
+    assert!(planned_moves(item(), vec![slow.clone(), full]).is_empty());
     let roomy = with_memory("roomy", 2, 20_000, 1.0);
-    assert_eq!(moved(item(), vec![slow, roomy]).len(), 1);
+    assert_eq!(planned_moves(item(), vec![slow, roomy]).len(), 1);
 }
 
-fn on_trial(id: &str) -> Candidate {
+fn half_open(id: &str) -> Candidate {
     let candidate = candidate(id, 0, 3, 1.0);
     Candidate {
         is_half_open: true,
@@ -364,9 +364,9 @@
     }
 }
 
-/// One item after the other was sent to engines that had gone dark, and lost 0.4 s each time.
+/// Guards against sending one item after another to back ends that stopped responding, which costs each item 0.4 s.
 #[test]
-fn back_ends_on_trial_get_the_items_that_go_last() {
+fn half_open_back_ends_get_the_items_that_go_last() {
     let items = [
         waiting("longest", false, 500),
         waiting("long", false, 400),
@@ -375,27 +375,27 @@
     ];
     let candidates = [
         candidate("sound", 7, 3, 1.0),
-        on_trial("dark-1"),
-        on_trial("dark-2"),
-        on_trial("dark-3"),
+        half_open("dark-1"),
+        half_open("dark-2"),
+        half_open("dark-3"),
     ];
-    let sent = assign_probes(&items, &candidates);
-    assert_eq!(sent, [(3, backend("dark-1")), (2, backend("dark-2"))]);
-    assert_eq!(chosen(&candidates), Some("sound".to_owned()));
+    let probes = assign_probes(&items, &candidates);
+    assert_eq!(probes, [(3, backend("dark-1")), (2, backend("dark-2"))]);
+    assert_eq!(chosen_backend(&candidates), Some("sound".to_owned()));
 }
 
 #[test]
-fn a_single_item_is_sent_on_trial_only_where_no_other_back_end_takes_it() {
+fn a_single_item_is_a_probe_only_if_no_other_back_end_accepts_it() {
     let items = [waiting("item", false, 500)];
     let sound = candidate("sound", 7, 3, 1.0);
-    assert_eq!(assign_probes(&items, &[sound, on_trial("dark")]), []);
+    assert_eq!(assign_probes(&items, &[sound, half_open("dark")]), []);
     let full = candidate("full", 8, 3, 1.0);
-    let sent = assign_probes(&items, &[full, on_trial("dark")]);
-    assert_eq!(sent, [(0, backend("dark"))]);
+    let probes = assign_probes(&items, &[full, half_open("dark")]);
+    assert_eq!(probes, [(0, backend("dark"))]);
 }
 
 #[test]
-fn no_item_is_moved_to_a_back_end_on_trial() {
+fn no_item_moves_to_a_half_open_back_end() {
     let slow = candidate("slow", 1, 3, 0.2);
     let running = RunningItem {
         item: waiting("item", false, 500),
@@ -404,20 +404,20 @@
         expected_events: 500,
         moves: 0,
     };
-    let moves = plan_relocations(vec![running.clone()], vec![slow.clone(), on_trial("dark")]);
+    let moves = plan_relocations(vec![running.clone()], vec![slow.clone(), half_open("dark")]);
     assert_eq!(moves, []);
     let sound = candidate("sound", 1, 3, 1.0);
     assert_eq!(plan_relocations(vec![running], vec![slow, sound]).len(), 1);
 }
 
 #[test]
-fn short_items_give_their_memory_back_before_long_ones_need_it() {
+fn short_items_free_their_memory_before_long_ones_need_it() {
     let memory = |items: &[(u32, u32)]| TokenMemory {
         capacity: Some(30_000),
         other_nodes_tokens: 0,
-        items: items.iter().map(|item| tokens(*item)).collect(),
+        items: items.iter().map(|item| item_tokens(*item)).collect(),
     };
-    let long = tokens((300, 9_700));
+    let long = item_tokens((300, 9_700));
     let with_short = memory(&[
         (300, 9_700),
         (300, 1_500),
@@ -434,21 +434,21 @@
 }
 
 #[test]
-fn what_others_hold_counts_whole_as_its_end_is_not_known() {
+fn tokens_of_other_nodes_count_fully_because_their_end_is_unknown() {
     let mut memory = with_memory("shared", 2, 25_000, 1.0).memory;
-    assert!(memory.fits(tokens((1_000, 4_000))));
-    assert!(!memory.fits(tokens((1_000, 4_001))));
-    memory.add(tokens((3_000, 1)));
+    assert!(memory.fits(item_tokens((1_000, 4_000))));
+    assert!(!memory.fits(item_tokens((1_000, 4_001))));
+    memory.add(item_tokens((3_000, 1)));
     assert_eq!(
-        memory.shortage(tokens((1_000, 4_000))),
+        memory.shortage(item_tokens((1_000, 4_000))),
         0,
         "it ends long before"
     );
-    assert_eq!(memory.shortage(tokens((1_001, 4_000))), 1);
-    memory.remove(tokens((3_000, 1)));
+    assert_eq!(memory.shortage(item_tokens((1_001, 4_000))), 1);
+    memory.remove(item_tokens((3_000, 1)));
     assert_eq!(memory.expected_tokens(), 25_000);
 }
 
-fn tokens((held, remaining): (u32, u32)) -> ItemTokens {
+fn item_tokens((held, remaining): (u32, u32)) -> ItemTokens {
     ItemTokens { held, remaining }
 }
--- a/crates/rollout/tests/step_model.rs
+++ b/crates/rollout/tests/step_model.rs
@@ -1,5 +1,5 @@
-//! How long steps last under several ways to place items. The bound is a step's longest needed item,
-//! alone on the best engine.
+//! Compares training step durations under several placement policies. The lower bound of a step is its longest
+//! required item, alone on the fastest engine.
 
 mod support;
 
@@ -9,7 +9,7 @@
 const SEEDS: [u64; 2] = [1, 2];
 const STEPS: usize = 8;
 
-fn best(
+fn cheapest(
     item: &WaitingItem,
     candidates: &[Candidate],
     cost: impl Fn(&Candidate) -> f64,
@@ -18,34 +18,35 @@
     fitting.min_by(|left, right| cost(&candidates[*left]).total_cmp(&cost(&candidates[*right])))
 }
 
-/// By the number of items that run beside, without regard to memory.
+/// By the number of items that run on the engine, regardless of memory.
 fn by_count(item: &WaitingItem, candidates: &[Candidate]) -> Option<usize> {
-    best(item, candidates, |candidate| {
+    cheapest(item, candidates, |candidate| {
         candidate.event_gap_ms * (1.0 + 0.033 * f64::from(candidate.running + 1))
     })
 }
 
-fn as_built(item: &WaitingItem, candidates: &[Candidate]) -> Option<usize> {
+/// The production policy.
+fn production_policy(item: &WaitingItem, candidates: &[Candidate]) -> Option<usize> {
     let chosen = choose_backend(item, candidates)?;
     candidates.iter().position(|c| c.backend == chosen.backend)
 }
 
 /// The engine with the fewest expected tokens, whatever its speed.
 fn fewest_tokens(item: &WaitingItem, candidates: &[Candidate]) -> Option<usize> {
-    best(item, candidates, |candidate| {
+    cheapest(item, candidates, |candidate| {
         f64::from(candidate.memory.expected_tokens())
     })
 }
 
-/// The fastest engine that has a place.
+/// The fastest engine with a free slot.
 fn fastest_first(item: &WaitingItem, candidates: &[Candidate]) -> Option<usize> {
-    best(item, candidates, |candidate| candidate.event_gap_ms)
+    cheapest(item, candidates, |candidate| candidate.event_gap_ms)
 }
 
-/// As built, but a short item leaves the last place of an engine to long ones.
-fn last_place_for_long(item: &WaitingItem, candidates: &[Candidate]) -> Option<usize> {
+/// Like production, but a short item leaves the last slot of an engine to long ones.
+fn last_slot_for_long(item: &WaitingItem, candidates: &[Candidate]) -> Option<usize> {
     let is_long = item.expected_tokens > 4_000;
-    let left: Vec<Candidate> = candidates
+    let restricted: Vec<Candidate> = candidates
         .iter()
         .cloned()
         .map(|mut candidate| {
@@ -53,12 +54,12 @@
             candidate
         })
         .collect();
-    as_built(item, &left).or_else(|| as_built(item, candidates))
+    production_policy(item, &restricted).or_else(|| production_policy(item, candidates))
 }
 
-/// As built, but at most three beside a long one.
+/// Like production, but at most three items share an engine with a long one.
 fn few_beside_long(item: &WaitingItem, candidates: &[Candidate]) -> Option<usize> {
-    let left: Vec<Candidate> = candidates
+    let restricted: Vec<Candidate> = candidates
         .iter()
         .cloned()
         .map(|mut candidate| {
@@ -68,101 +69,114 @@
             candidate
         })
         .collect();
-    as_built(item, &left).or_else(|| as_built(item, candidates))
+    production_policy(item, &restricted).or_else(|| production_policy(item, candidates))
 }
 
-fn even() -> Engines {
+fn even_engines() -> Engines {
     Engines {
-        speeds: vec![1.0; 45],
+        step_time_factors: vec![1.0; 45],
         memory_tokens: 81_646,
         prompt_tokens: 1_016,
-        is_shared: true,
-        at_once: false,
+        serves_all_trainers: true,
+        submit_together: false,
         step_ms: (0.683, 0.00151, 0.00287),
     }
 }
 
-fn uneven() -> Engines {
+fn uneven_engines() -> Engines {
     Engines {
-        speeds: [0.7, 0.7, 1.7].repeat(15),
+        step_time_factors: [0.7, 0.7, 1.7].repeat(15),
         memory_tokens: 30_990,
         prompt_tokens: 276,
-        is_shared: true,
-        at_once: false,
+        serves_all_trainers: true,
+        submit_together: false,
         step_ms: (0.694, 0.00363, 0.00191),
     }
 }
 
 fn mean(engines: &Engines, choose: Choose) -> Outcome {
-    let days: Vec<Outcome> = SEEDS
+    let outcomes: Vec<Outcome> = SEEDS
         .iter()
-        .map(|seed| Model::new(engines.clone(), *seed).play(STEPS, choose))
+        .map(|seed| Model::new(engines.clone(), *seed).run(STEPS, choose))
         .collect();
-    let count = days.len() as f64;
+    let count = outcomes.len() as f64;
     Outcome {
-        over_bound: days.iter().map(|day| day.over_bound).sum::<f64>() / count,
-        short_of_memory: days.iter().map(|day| day.short_of_memory).sum(),
-        behind_ms: days.iter().map(|day| day.behind_ms).sum::<f64>() / count,
+        relative_to_bound: outcomes
+            .iter()
+            .map(|outcome| outcome.relative_to_bound)
+            .sum::<f64>()
+            / count,
+        memory_shortages: outcomes
+            .iter()
+            .map(|outcome| outcome.memory_shortages)
+            .sum(),
+        lag_ms: outcomes.iter().map(|outcome| outcome.lag_ms).sum::<f64>() / count,
     }
 }
 
-fn ranked(engines: &Engines, ways: &[(&str, Choose)]) -> Vec<Outcome> {
-    let outcome = |(way, choose): &(&str, Choose)| {
+fn simulate_policies(engines: &Engines, policies: &[(&str, Choose)]) -> Vec<Outcome> {
+    let outcome = |(name, choose): &(&str, Choose)| {
         let outcome = mean(engines, *choose);
-        println!("{way}: {outcome:?}");
+        println!("{name}: {outcome:?}");
         outcome
     };
-    ways.iter().map(outcome).collect()
+    policies.iter().map(outcome).collect()
 }
 
-const WAYS: [(&str, Choose); 6] = [
-    ("as built", as_built),
+const POLICIES: [(&str, Choose); 6] = [
+    ("production", production_policy),
     ("by count", by_count),
     ("fewest tokens", fewest_tokens),
     ("fastest first", fastest_first),
-    ("last place for long", last_place_for_long),
+    ("last slot for long", last_slot_for_long),
     ("few beside long", few_beside_long),
 ];
 
-/// Differences between ways that are less than this decide nothing.
+/// Smaller differences of the mean step duration, relative to the bound, do not count.
 const TOLERANCE: f64 = 0.01;
 
-fn assert_built_is_best(outcomes: &[Outcome]) {
-    let built = &outcomes[0];
-    assert_eq!(built.short_of_memory, 0);
+fn assert_production_is_best(outcomes: &[Outcome]) {
+    let production = &outcomes[0];
+    assert_eq!(production.memory_shortages, 0);
     for other in &outcomes[1..] {
         assert!(
-            built.over_bound < other.over_bound + TOLERANCE,
-            "{built:?} {other:?}"
+            production.relative_to_bound < other.relative_to_bound + TOLERANCE,
+            "{production:?} {other:?}"
+        );
+        assert!(
+            production.lag_ms <= other.lag_ms,
+            "{production:?} {other:?}"
         );
-        assert!(built.behind_ms <= other.behind_ms, "{built:?} {other:?}");
     }
 }
 
 #[test]
-fn on_even_engines_items_by_tokens_end_sooner_than_by_count() {
-    let outcomes = ranked(&even(), &WAYS);
-    assert_built_is_best(&outcomes);
-    assert!(outcomes[0].over_bound < outcomes[1].over_bound);
+fn on_even_engines_placement_by_tokens_is_faster_than_by_count() {
+    let outcomes = simulate_policies(&even_engines(), &POLICIES);
+    assert_production_is_best(&outcomes);
+    assert!(outcomes[0].relative_to_bound < outcomes[1].relative_to_bound);
 }
 
 #[test]
-fn on_uneven_engines_with_little_memory_none_is_preempted() {
-    let outcomes = ranked(&uneven(), &WAYS);
-    assert_built_is_best(&outcomes);
-    assert!(outcomes[0].over_bound < outcomes[1].over_bound);
-    assert!(outcomes[1].short_of_memory > 0, "what the memory answers");
+fn on_uneven_engines_with_little_memory_no_item_is_preempted() {
+    let outcomes = simulate_policies(&uneven_engines(), &POLICIES);
+    assert_production_is_best(&outcomes);
+    assert!(outcomes[0].relative_to_bound < outcomes[1].relative_to_bound);
+    assert!(
+        outcomes[1].memory_shortages > 0,
+        "placement by count must run short of memory here"
+    );
 }
 
-/// Four bursts at once are more than there are places for.
+/// Four trainers that submit at once have more items than there are slots.
 #[test]
-fn items_that_come_at_once_are_not_driven_to_slow_engines() {
+fn items_submitted_at_once_are_not_crowded_onto_slow_engines() {
     let engines = Engines {
-        at_once: true,
-        is_shared: false,
-        ..uneven()
+        submit_together: true,
+        serves_all_trainers: false,
+        ..uneven_engines()
     };
-    let outcomes = ranked(&engines, &WAYS[..2]);
-    assert!(outcomes[0].over_bound < outcomes[1].over_bound + TOLERANCE);
-    assert!(outcomes[0].short_of_memory < outcomes[1].short_of_memory);
+    let outcomes = simulate_policies(&engines, &POLICIES[..2]);
+    assert!(outcomes[0].relative_to_bound < outcomes[1].relative_to_bound + TOLERANCE);
+    assert!(outcomes[0].memory_shortages < outcomes[1].memory_shortages);
 }
--- a/crates/rollout/tests/support/draws.rs
+++ b/crates/rollout/tests/support/draws.rs
@@ -1,14 +1,15 @@
-//! Draws of lengths and guesses, the same for the same seed.
+//! Random item lengths and length estimates, reproducible for a given seed.
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Spread of lengths around their median, as a standard deviation of their logarithms.
-const LENGTH_SPREAD: f64 = 0.9;
-/// Share of items that are much longer, and how much.
+/// Standard deviation of the logarithm of the lengths.
+const LENGTH_SIGMA: f64 = 0.9;
+/// Share of items that are much longer than the others.
 const LONG_SHARE: f64 = 0.08;
+/// Factor by which these items are longer.
 const LONG_FACTOR: f64 = 5.0;
-/// Spread of guesses around the length.
-const GUESS_SPREAD: f64 = 0.5;
+/// Standard deviation of the logarithm of the ratio of estimate to length.
+const ESTIMATE_SIGMA: f64 = 0.5;
 
 pub struct Draws {
     seed: u64,
@@ -31,17 +32,17 @@
         (-2.0 * radius.ln()).sqrt() * (std::f64::consts::TAU * angle).cos()
     }
 
-    /// Events of an item, before the greatest length cuts it.
+    /// Number of events of an item, not yet limited to the maximum length.
     pub fn length(&mut self, median: f64) -> f64 {
         let factor = if self.uniform() < LONG_SHARE {
             LONG_FACTOR
         } else {
             1.0
         };
-        (median * factor * (LENGTH_SPREAD * self.normal()).exp()).max(1.0)
+        (median * factor * (LENGTH_SIGMA * self.normal()).exp()).max(1.0)
     }
 
-    pub fn guess_factor(&mut self) -> f64 {
-        (GUESS_SPREAD * self.normal()).exp()
+    pub fn estimate_factor(&mut self) -> f64 {
+        (ESTIMATE_SIGMA * self.normal()).exp()
     }
 }
--- a/crates/rollout/tests/support/mod.rs
+++ b/crates/rollout/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Builders shared by the tests.
+//! Builders of ids, batches, records and claims shared by the tests.
 #![allow(dead_code)]
 
 pub mod draws;
--- a/crates/rollout/tests/support/steps.rs
+++ b/crates/rollout/tests/support/steps.rs
@@ -1,5 +1,5 @@
-//! Steps of trainers on engines whose time for a step grows with the tokens in their memory, in
-//! virtual time: how long steps last under a way to place items.
+//! Simulates training steps in virtual time on engines whose decode step gets slower with the tokens in
+//! memory, to measure how long training steps last under a placement policy.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -13,68 +13,73 @@
 
 const SLICE_MS: f64 = 20.0;
 const TOKENS_PER_EVENT: u32 = 68;
-const MOST_EVENTS: f64 = 147.0;
+const MAX_EVENTS: f64 = 147.0;
 const TRAINERS: usize = 4;
 const GROUPS: usize = 18;
 const GROUP_SIZE: usize = 8;
-const NEEDED_SHARE: f64 = 0.9;
-const STEP_EVERY_MS: f64 = 4_000.0;
-const OPEN_STEPS: usize = 2;
-/// Spread of what nodes measure of an engine's speed.
+/// Share of a step's groups that must complete before the step does.
+const REQUIRED_SHARE: f64 = 0.9;
+/// Interval at which a trainer submits steps.
+const STEP_INTERVAL_MS: f64 = 4_000.0;
+/// Maximum number of unfinished steps of a trainer.
+const MAX_OPEN_STEPS: usize = 2;
+/// Standard deviation of the measured event gap of an engine, relative to the actual one.
 const GAP_NOISE: f64 = 0.04;
 
-/// A pool of engines.
+/// A pool of engines and how trainers use it.
 #[derive(Clone)]
 pub struct Engines {
-    pub speeds: Vec<f64>,
+    /// Factor on the decode step time of each engine; lower is faster.
+    pub step_time_factors: Vec<f64>,
     pub memory_tokens: u32,
     pub prompt_tokens: u32,
-    /// Trainers that share each engine: all, or just one whose model it holds.
-    pub is_shared: bool,
-    /// Whether trainers hand in their steps at the same moments.
-    pub at_once: bool,
-    /// Milliseconds of a step, for each run beside, and for each 1,000 tokens in memory.
+    /// Whether each engine serves the models of all trainers, or only the model of one.
+    pub serves_all_trainers: bool,
+    /// Whether all trainers submit their steps at the same times.
+    pub submit_together: bool,
+    /// Decode step time in milliseconds: base, per running item, and per 1,000 tokens in memory.
     pub step_ms: (f64, f64, f64),
 }
 
-struct ModelItem {
+struct SimulatedItem {
     step: usize,
     group: usize,
     events: f64,
-    made: f64,
-    guess: u32,
+    generated_events: f64,
+    estimated_tokens: u32,
     engine: Option<usize>,
     ended_at: Option<f64>,
 }
 
 struct Step {
     trainer: usize,
-    from_ms: f64,
+    submitted_ms: f64,
     items: std::ops::Range<usize>,
-    took_ms: Option<f64>,
+    duration_ms: Option<f64>,
 }
 
-/// What came of a day.
+/// Result of a simulation.
 #[derive(Debug)]
 pub struct Outcome {
-    /// Mean time of a step over that of its longest needed item on the best engine alone.
-    pub over_bound: f64,
-    /// Slices of an engine in which its memory was short.
-    pub short_of_memory: u32,
-    /// Mean time by which trainers are behind at the end.
-    pub behind_ms: f64,
+    /// Mean ratio of a step's duration to its lower bound: its longest required item, alone on the fastest engine.
+    pub relative_to_bound: f64,
+    /// Number of time slices, summed over engines, in which an engine exceeded its memory.
+    pub memory_shortages: u32,
+    /// Mean time by which trainers are behind schedule at the end.
+    pub lag_ms: f64,
 }
 
+/// A placement policy: returns the position of the chosen candidate.
 pub type Choose = fn(&WaitingItem, &[Candidate]) -> Option<usize>;
 
 pub struct Model {
     engines: Engines,
     draws: Draws,
-    items: Vec<ModelItem>,
+    items: Vec<SimulatedItem>,
     steps: Vec<Step>,
     history: LengthHistory,
     now_ms: f64,
-    short_of_memory: u32,
+    memory_shortages: u32,
 }
 
 impl Model {
@@ -86,64 +91,65 @@
             steps: Vec::new(),
             history: LengthHistory::default(),
             now_ms: 0.0,
-            short_of_memory: 0,
+            memory_shortages: 0,
         }
     }
 
-    /// Plays so many steps of each trainer.
-    pub fn play(mut self, steps: usize, choose: Choose) -> Outcome {
-        let until_ms = STEP_EVERY_MS * steps as f64;
+    /// Simulates `steps` submission intervals.
+    pub fn run(mut self, steps: usize, choose: Choose) -> Outcome {
+        let until_ms = STEP_INTERVAL_MS * steps as f64;
         while self.now_ms < until_ms {
-            self.hand_in();
-            self.place(choose);
-            self.advance();
+            self.submit_due_steps();
+            self.place_waiting(choose);
+            self.advance_slice();
             self.now_ms += SLICE_MS;
         }
         self.outcome(steps)
     }
 
-    fn hand_in(&mut self) {
+    fn submit_due_steps(&mut self) {
         for trainer in 0..TRAINERS {
             let of_trainer = self.steps.iter().filter(|step| step.trainer == trainer);
-            let handed_in = of_trainer.clone().count();
-            let open = of_trainer.filter(|step| step.took_ms.is_none()).count();
-            let offset_ms = match self.engines.at_once {
+            let submitted = of_trainer.clone().count();
+            let open = of_trainer.filter(|step| step.duration_ms.is_none()).count();
+            let offset_ms = match self.engines.submit_together {
                 true => 0.0,
-                false => STEP_EVERY_MS * trainer as f64 / TRAINERS as f64,
+                false => STEP_INTERVAL_MS * trainer as f64 / TRAINERS as f64,
             };
-            let due_ms = STEP_EVERY_MS * handed_in as f64 + offset_ms;
-            if self.now_ms >= due_ms && open < OPEN_STEPS {
-                self.new_step(trainer);
+            let due_ms = STEP_INTERVAL_MS * submitted as f64 + offset_ms;
+            if self.now_ms >= due_ms && open < MAX_OPEN_STEPS {
+                self.submit_step(trainer);
             }
         }
     }
 
-    fn new_step(&mut self, trainer: usize) {
+    fn submit_step(&mut self, trainer: usize) {
         let first = self.items.len();
         for at in 0..GROUPS * GROUP_SIZE {
             let length = self.draws.length(13.0);
-            let guess = length * self.draws.guess_factor();
-            self.items.push(ModelItem {
+            let estimate = length * self.draws.estimate_factor();
+            self.items.push(SimulatedItem {
                 step: self.steps.len(),
                 group: at / GROUP_SIZE,
-                events: length.min(MOST_EVENTS).ceil(),
-                made: 0.0,
-                guess: (guess.min(MOST_EVENTS) * f64::from(TOKENS_PER_EVENT)).max(1.0) as u32,
+                events: length.min(MAX_EVENTS).ceil(),
+                generated_events: 0.0,
+                estimated_tokens: (estimate.min(MAX_EVENTS) * f64::from(TOKENS_PER_EVENT)).max(1.0)
+                    as u32,
                 engine: None,
                 ended_at: None,
             });
         }
         self.steps.push(Step {
             trainer,
-            from_ms: self.now_ms,
+            submitted_ms: self.now_ms,
             items: first..self.items.len(),
-            took_ms: None,
+            duration_ms: None,
         });
     }
 
-    /// Items that are not whole, of the steps that are open.
-    fn open(&self) -> Vec<usize> {
-        let steps = self.steps.iter().filter(|step| step.took_ms.is_none());
+    /// Unfinished items of the open steps.
+    fn open_items(&self) -> Vec<usize> {
+        let steps = self.steps.iter().filter(|step| step.duration_ms.is_none());
         let items = steps.flat_map(|step| step.items.clone());
         items
             .filter(|at| self.items[*at].ended_at.is_none())
@@ -155,8 +161,8 @@
     }
 
     fn models_on(&self, engine: usize) -> BTreeMap<ModelName, u64> {
-        let trainers =
-            (0..TRAINERS).filter(|trainer| self.engines.is_shared || engine % TRAINERS == *trainer);
+        let trainers = (0..TRAINERS)
+            .filter(|trainer| self.engines.serves_all_trainers || engine % TRAINERS == *trainer);
         trainers
             .map(|trainer| (self.model_of(trainer), 0))
             .collect()
@@ -164,15 +170,17 @@
 
     fn waiting_item(&self, at: usize) -> WaitingItem {
         let item = &self.items[at];
-        let made = item.made as u32 * TOKENS_PER_EVENT;
+        let generated_tokens = item.generated_events as u32 * TOKENS_PER_EVENT;
         WaitingItem {
             batch: BatchId::from(item.step.to_string()),
             item: ItemId::from(at.to_string()),
             is_optional: false,
             claim: claim(0, "route"),
-            expected_tokens: self.history.expected_remaining(item.guess, made),
-            held_tokens: self.engines.prompt_tokens + made,
-            batch_first_seen: self.steps[item.step].from_ms as u64,
+            expected_tokens: self
+                .history
+                .expected_remaining(item.estimated_tokens, generated_tokens),
+            held_tokens: self.engines.prompt_tokens + generated_tokens,
+            batch_first_seen: self.steps[item.step].submitted_ms as u64,
             model: Some(self.model_of(self.steps[item.step].trainer)),
             minimum_version: 0,
             exact_version: None,
@@ -181,8 +189,8 @@
         }
     }
 
-    fn place(&mut self, choose: Choose) {
-        let open = self.open();
+    fn place_waiting(&mut self, choose: Choose) {
+        let open = self.open_items();
         if open.iter().all(|at| self.items[*at].engine.is_some()) {
             return;
         }
@@ -229,9 +237,9 @@
         candidates
     }
 
-    /// The items that run on each engine.
+    /// Positions of the items that run on each engine.
     fn by_engine(&self, open: &[usize]) -> Vec<Vec<usize>> {
-        let mut running = vec![Vec::new(); self.engines.speeds.len()];
+        let mut running = vec![Vec::new(); self.engines.step_time_factors.len()];
         for at in open {
             if let Some(engine) = self.items[*at].engine {
                 running[engine].push(*at);
@@ -244,7 +252,7 @@
         let prompt = f64::from(self.engines.prompt_tokens);
         let held = running
             .iter()
-            .map(|at| prompt + self.items[*at].made * f64::from(TOKENS_PER_EVENT));
+            .map(|at| prompt + self.items[*at].generated_events * f64::from(TOKENS_PER_EVENT));
         held.sum()
     }
 
@@ -252,23 +260,24 @@
         let (base, per_run, per_thousand) = self.engines.step_ms;
         let tokens = self.tokens(running);
         let step_ms = base + per_run * running.len() as f64 + per_thousand * tokens / 1_000.0;
-        step_ms * self.engines.speeds[engine] * f64::from(TOKENS_PER_EVENT)
+        step_ms * self.engines.step_time_factors[engine] * f64::from(TOKENS_PER_EVENT)
     }
 
-    fn advance(&mut self) {
-        let open = self.open();
+    fn advance_slice(&mut self) {
+        let open = self.open_items();
         for (engine, running) in self.by_engine(&open).into_iter().enumerate() {
             let gap_ms = self.gap_ms(engine, &running);
             if self.tokens(&running) > f64::from(self.engines.memory_tokens) {
-                self.short_of_memory += 1;
+                self.memory_shortages += 1;
             }
             for at in running {
                 let item = &mut self.items[at];
-                item.made += SLICE_MS / gap_ms;
-                if item.made >= item.events {
+                item.generated_events += SLICE_MS / gap_ms;
+                if item.generated_events >= item.events {
                     item.ended_at = Some(self.now_ms);
-                    let made = item.events as u32 * TOKENS_PER_EVENT;
-                    self.history.record_finished(item.guess, made);
+                    let generated_tokens = item.events as u32 * TOKENS_PER_EVENT;
+                    self.history
+                        .record_finished(item.estimated_tokens, generated_tokens);
                 }
             }
         }
@@ -276,13 +285,17 @@
     }
 
     fn close_steps(&mut self) {
-        for step in self.steps.iter_mut().filter(|step| step.took_ms.is_none()) {
+        for step in self
+            .steps
+            .iter_mut()
+            .filter(|step| step.duration_ms.is_none())
+        {
             let items = &self.items[step.items.clone()];
-            let whole = items
+            let complete = items
                 .chunks(GROUP_SIZE)
                 .filter(|group| group.iter().all(|item| item.ended_at.is_some()));
-            if whole.count() >= needed_groups() {
-                step.took_ms = Some(self.now_ms - step.from_ms);
+            if complete.count() >= required_groups() {
+                step.duration_ms = Some(self.now_ms - step.submitted_ms);
             }
         }
     }
@@ -294,27 +307,32 @@
             .map(|group| group.iter().map(|item| item.events).fold(0.0, f64::max))
             .collect();
         longest.sort_by(f64::total_cmp);
-        let best = self.engines.speeds.iter().copied().fold(f64::MAX, f64::min);
+        let fastest = self
+            .engines
+            .step_time_factors
+            .iter()
+            .copied()
+            .fold(f64::MAX, f64::min);
         let (base, per_run, _) = self.engines.step_ms;
-        longest[needed_groups() - 1] * best * (base + per_run) * f64::from(TOKENS_PER_EVENT)
+        longest[required_groups() - 1] * fastest * (base + per_run) * f64::from(TOKENS_PER_EVENT)
     }
 
     fn outcome(self, steps: usize) -> Outcome {
-        let ended = self
+        let completed = self
             .steps
             .iter()
-            .filter_map(|step| Some(step.took_ms? / self.bound_ms(step)));
-        let over: Vec<f64> = ended.collect();
+            .filter_map(|step| Some(step.duration_ms? / self.bound_ms(step)));
+        let ratios: Vec<f64> = completed.collect();
         let expected = steps * TRAINERS;
         let missing = expected.saturating_sub(self.steps.len());
         Outcome {
-            over_bound: over.iter().sum::<f64>() / over.len() as f64,
-            short_of_memory: self.short_of_memory,
-            behind_ms: missing as f64 * STEP_EVERY_MS / TRAINERS as f64,
+            relative_to_bound: ratios.iter().sum::<f64>() / ratios.len() as f64,
+            memory_shortages: self.memory_shortages,
+            lag_ms: missing as f64 * STEP_INTERVAL_MS / TRAINERS as f64,
         }
     }
 }
 
-fn needed_groups() -> usize {
-    (GROUPS as f64 * NEEDED_SHARE).round() as usize
+fn required_groups() -> usize {
+    (GROUPS as f64 * REQUIRED_SHARE).round() as usize
 }
