--- a/crates/rollout/src/stall.rs
+++ b/crates/rollout/src/stall.rs
@@ -131,7 +131,7 @@
 /// What this node received from a back end.
 #[derive(Debug, Default)]
 struct Activity {
-    last_event_at: Option<Millis>,
+    last_received_at: Option<Millis>,
     /// When a new connection failed, if no event arrived since.
     connect_failed_at: Option<Millis>,
     /// Silence before this time does not count.
@@ -150,7 +150,7 @@
     /// Records an event from a back end. `gap_ms` is the time since the previous event of the same run, if there is one.
     pub fn record_event(&mut self, backend: &BackendId, gap_ms: Option<Millis>, now: Millis) {
         let activity = self.activity(backend);
-        activity.last_event_at = Some(now);
+        activity.last_received_at = Some(now);
         activity.connect_failed_at = None;
         if let Some(gap_ms) = gap_ms {
             activity.gaps.record(gap_ms as f64);
@@ -213,12 +213,12 @@
     /// Since when nothing has arrived for the run or from its back end, and silence counts.
     fn quiet_since(&self, run: &WatchedRun<'_>) -> Millis {
         let activity = self.backends.get(run.backend);
-        let last_event_at = activity
-            .and_then(|activity| activity.last_event_at)
+        let last_received_at = activity
+            .and_then(|activity| activity.last_received_at)
             .unwrap_or(0);
         let silence_counts_from = activity.map_or(0, |activity| activity.silence_counts_from);
         let of_run = run.last_event_at.unwrap_or(run.started_at);
-        last_event_at
+        last_received_at
             .max(of_run)
             .max(silence_counts_from)
             .max(self.silence_counts_from)
@@ -237,7 +237,7 @@
             let latest = self
                 .backends
                 .get(*backend)
-                .and_then(|activity| activity.last_event_at);
+                .and_then(|activity| activity.last_received_at);
             let oldest_run = of_backend.iter().map(|&run| runs[run].started_at).min();
             let since = latest.max(oldest_run).unwrap_or(now);
             match now.saturating_sub(since) >= SILENT_AFTER_MS {
@@ -324,8 +324,8 @@
             self.deviation_ms = gap_ms / 2.0;
             return;
         };
-        let deviation_ms = (gap_ms - mean_ms).abs();
-        self.deviation_ms += DEVIATION_WEIGHT * (deviation_ms - self.deviation_ms);
+        let gap_deviation_ms = (gap_ms - mean_ms).abs();
+        self.deviation_ms += DEVIATION_WEIGHT * (gap_deviation_ms - self.deviation_ms);
         self.mean_ms = Some(mean_ms + MEAN_WEIGHT * (gap_ms - mean_ms));
     }
 
--- a/crates/rollout/tests/schedule.rs
+++ b/crates/rollout/tests/schedule.rs
@@ -375,12 +375,15 @@
     ];
     let candidates = [
         candidate("sound", 7, 3, 1.0),
-        half_open("dark-1"),
-        half_open("dark-2"),
-        half_open("dark-3"),
+        half_open("half-open-1"),
+        half_open("half-open-2"),
+        half_open("half-open-3"),
     ];
     let probes = assign_probes(&items, &candidates);
-    assert_eq!(probes, [(3, backend("dark-1")), (2, backend("dark-2"))]);
+    assert_eq!(
+        probes,
+        [(3, backend("half-open-1")), (2, backend("half-open-2"))]
+    );
     assert_eq!(chosen_backend(&candidates), Some("sound".to_owned()));
 }
 
@@ -388,10 +391,10 @@
 fn a_single_item_is_a_probe_only_if_no_other_back_end_accepts_it() {
     let items = [waiting("item", false, 500)];
     let sound = candidate("sound", 7, 3, 1.0);
-    assert_eq!(assign_probes(&items, &[sound, half_open("dark")]), []);
+    assert_eq!(assign_probes(&items, &[sound, half_open("half-open")]), []);
     let full = candidate("full", 8, 3, 1.0);
-    let probes = assign_probes(&items, &[full, half_open("dark")]);
-    assert_eq!(probes, [(0, backend("dark"))]);
+    let probes = assign_probes(&items, &[full, half_open("half-open")]);
+    assert_eq!(probes, [(0, backend("half-open"))]);
 }
 
 #[test]
@@ -404,7 +407,10 @@
         expected_events: 500,
         moves: 0,
     };
-    let moves = plan_relocations(vec![running.clone()], vec![slow.clone(), half_open("dark")]);
+    let moves = plan_relocations(
+        vec![running.clone()],
+        vec![slow.clone(), half_open("half-open")],
+    );
     assert_eq!(moves, []);
     let sound = candidate("sound", 1, 3, 1.0);
     assert_eq!(plan_relocations(vec![running], vec![slow, sound]).len(), 1);
