--- a/crates/gateway/src/backends.rs
+++ b/crates/gateway/src/backends.rs
@@ -11,7 +11,7 @@
 use havenstage_rollout::Millis;
 use havenstage_rollout::back_end_speed::{BackEndSpeed, KnownGap, SharedGap};
 use havenstage_rollout::backend::{BackendChange, BackendList, BackendRecord};
-use havenstage_rollout::health::HealthBoard;
+use havenstage_rollout::health::BackendHealth;
 use havenstage_rollout::ids::{
     BackendId, BackendName, ModelName, PoolName, RegionName, Version, ZoneName,
 };
@@ -57,7 +57,7 @@
     /// Entries of the list.
     pub list: BackendList,
     /// What was seen of each.
-    pub health: HealthBoard,
+    pub health: BackendHealth,
     links: HashMap<BackendId, Link>,
     in_flight: HashMap<BackendId, u32>,
     versions: HashMap<(BackendId, ModelName), Version>,
@@ -180,7 +180,7 @@
         now: Millis,
     ) -> Option<ChosenBackend> {
         let mut inner = self.lock();
-        if !inner.list.takes_requests(id) || inner.cold_allowance(id, sender, now) == Some(0) {
+        if !inner.list.can_accept_requests(id) || inner.cold_allowance(id, sender, now) == Some(0) {
             return None;
         }
         inner.slow_start.sent(id, now);
@@ -201,7 +201,7 @@
 
 impl BackendsInner {
     fn apply(&mut self, change: BackendChange, now: Millis) {
-        let (life, record) = (change.life(), change.record.clone());
+        let (life, record) = (change.incarnation(), change.record.clone());
         let has_gone = self.list.apply(change);
         if let (Some(life), Some(record)) = (life, record) {
             self.note_entry(&life, &record, now);
--- a/crates/gateway/src/batch_ends.rs
+++ b/crates/gateway/src/batch_ends.rs
@@ -172,7 +172,7 @@
     let record = match caller {
         Caller::Anonymous => BatchRecord::Ended { batch: id.clone() },
         Caller::Unverified | Caller::KeyHolder(_) => BatchRecord::EndedFor {
-            tenants: caller.acts_for(),
+            tenants: caller.effective_tenants(),
             batch: id.clone(),
         },
     };
@@ -189,7 +189,7 @@
 fn known_outcome(context: &Context, caller: &Caller, id: &BatchId) -> Option<EndOutcome> {
     let inner = context.partition_of(id).lock();
     match inner.state.batch(id)? {
-        batch if !caller.may_see(batch.tenant.as_ref()) => Some(match caller {
+        batch if !caller.can_see(batch.tenant.as_ref()) => Some(match caller {
             Caller::Unverified => EndOutcome::NotAppended { may_be_done: false },
             Caller::Anonymous | Caller::KeyHolder(_) => EndOutcome::NotThere,
         }),
--- a/crates/gateway/src/batch_reads.rs
+++ b/crates/gateway/src/batch_reads.rs
@@ -240,7 +240,7 @@
 /// A batch that exists for a caller.
 fn visible<'a>(state: &'a PartitionState, caller: &Caller, id: &BatchId) -> Option<&'a BatchState> {
     let batch = state.batch(id);
-    batch.filter(|batch| caller.may_see(batch.tenant.as_ref()))
+    batch.filter(|batch| caller.can_see(batch.tenant.as_ref()))
 }
 
 /// Reads the body of an item that is not listed yet.
--- a/crates/gateway/src/call_progress.rs
+++ b/crates/gateway/src/call_progress.rs
@@ -211,7 +211,7 @@
     }
 
     fn may_run_again(&self) -> bool {
-        self.route.kind.may_repeat() && self.may_have_run < self.route.attempts.max(1)
+        self.route.kind.can_repeat() && self.may_have_run < self.route.attempts.max(1)
     }
 
     /// Whether it is known that nobody takes the pool's calls at this moment.
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -289,7 +289,7 @@
             .as_ref()
             .is_none_or(|table| table.version() < config.version);
         if is_newer {
-            let table = Arc::new(RouteTable::following(config, routes.as_deref()));
+            let table = Arc::new(RouteTable::replacing(config, routes.as_deref()));
             *routes = Some(table.clone());
             drop(routes);
             self.backends.set_cold_limits(table.cold_limits());
--- a/crates/gateway/src/crash_evidence.rs
+++ b/crates/gateway/src/crash_evidence.rs
@@ -178,7 +178,11 @@
 }
 
 fn is_taken_over(context: &Context, address: SocketAddr, former: &BackendId) -> bool {
-    context.backends.lock().list.is_taken_over(address, former)
+    context
+        .backends
+        .lock()
+        .list
+        .is_address_reused(address, former)
 }
 
 async fn ended(context: &Arc<Context>, send: &UnansweredSend, evidence: &'static str) {
--- a/crates/gateway/src/digest_writer.rs
+++ b/crates/gateway/src/digest_writer.rs
@@ -8,7 +8,7 @@
 use havenstage_clock::Instant;
 use havenstage_rollout::Millis;
 use havenstage_rollout::backend::{BackendChange, BackendList};
-use havenstage_rollout::backend_digest::{DigestRecord, changes_to};
+use havenstage_rollout::backend_digest::{DigestRecord, compute_changes};
 use havenstage_rollout::ids::PoolName;
 use havenstage_rollout::lease::Term;
 use havenstage_rollout::stored::Stored;
@@ -168,7 +168,7 @@
             let view = self.context.digest.lock();
             self.wanted
                 .follow(self.context, &view.state.wanted().clone());
-            changes_to(&view.state, &self.directory, |pool| self.wanted.of(pool))
+            compute_changes(&view.state, &self.directory, |pool| self.wanted.of(pool))
         };
         if !changes.is_empty() {
             self.has_unsaved = true;
@@ -311,6 +311,6 @@
 
 /// Time since a holder's record was last read, in milliseconds; `None` if there was none.
 pub(crate) fn kept_age_ms(context: &Context) -> Option<Millis> {
-    let kept_at = context.digest.lock().state.kept_at()?;
+    let kept_at = context.digest.lock().state.last_holder_record_at()?;
     Some(context.now().saturating_sub(kept_at))
 }
--- a/crates/gateway/src/followers.rs
+++ b/crates/gateway/src/followers.rs
@@ -6,7 +6,7 @@
 use havenstage_clock::Instant;
 use havenstage_rollout::Millis;
 use havenstage_rollout::control_record::ControlRecord;
-use havenstage_rollout::reachable_machines::is_told_at_once;
+use havenstage_rollout::reachable_machines::can_announce_at_once;
 use log::{info, warn};
 use tokio::task::JoinSet;
 
@@ -130,7 +130,7 @@
 /// away 4 s after its start was killed with three ends that it alone knew, as no machine had told where it can be reached.
 async fn wait_to_tell_address(context: &Context) {
     let latest = Instant::now() + announce_delay(context);
-    while !is_told_at_once(context.fleet_size()) {
+    while !can_announce_at_once(context.fleet_size()) {
         let left = latest.saturating_duration_since(Instant::now());
         if left.is_zero() {
             return;
--- a/crates/gateway/src/peer_notices.rs
+++ b/crates/gateway/src/peer_notices.rs
@@ -129,7 +129,7 @@
 fn recipients(context: &Context, count: usize) -> Vec<SocketAddr> {
     let control = context.control.lock();
     let addresses = control.state.reachable();
-    addresses.some_others(&context.node.machine, count, rand::random())
+    addresses.sample_others(&context.node.machine, count, rand::random())
 }
 
 /// Tells other nodes that a back end ended under a request, until one has heard it; answers where that is. Without a
--- a/crates/gateway/src/peers/answers.rs
+++ b/crates/gateway/src/peers/answers.rs
@@ -36,7 +36,7 @@
     }
     know(context, batch).await?;
     check_region(context, batch, &request.zone)?;
-    let caller = Caller::admitted_elsewhere(request.tenants.clone());
+    let caller = Caller::admitted_by_peer(request.tenants.clone());
     match &request.question {
         PeerQuestion::Results { from, wait_ms } => {
             let from = usize::try_from(*from).map_err(|_| PeerRefusal::Unreadable)?;
--- a/crates/gateway/src/peers/client.rs
+++ b/crates/gateway/src/peers/client.rs
@@ -11,7 +11,7 @@
 use havenstage_rollout::Millis;
 use havenstage_rollout::ids::NodeId;
 use havenstage_rollout::peer_message::{PeerAnswer, PeerRequest};
-use havenstage_rollout::peer_question::PeerRecord;
+use havenstage_rollout::peer_question::PeerBackoff;
 use havenstage_rollout::stored::{Stored, UnreadableValue};
 use http::{Method, Request, StatusCode};
 use http_body_util::Full;
@@ -60,7 +60,7 @@
 
 struct KnownPeer {
     link: Link,
-    record: PeerRecord,
+    record: PeerBackoff,
     used: Millis,
 }
 
@@ -74,7 +74,7 @@
     }
 
     /// Notes how a node answered. One whose connections made place for others meanwhile begins anew.
-    pub(super) fn note(&self, node: &NodeId, change: impl FnOnce(&mut PeerRecord)) {
+    pub(super) fn note(&self, node: &NodeId, change: impl FnOnce(&mut PeerBackoff)) {
         if let Some(peer) = self.lock().get_mut(node) {
             change(&mut peer.record);
         }
@@ -102,7 +102,7 @@
         );
         let peer = KnownPeer {
             link: link.clone(),
-            record: PeerRecord::default(),
+            record: PeerBackoff::default(),
             used: now,
         };
         peers.insert(node.clone(), peer);
--- a/crates/gateway/src/peers/questions.rs
+++ b/crates/gateway/src/peers/questions.rs
@@ -117,15 +117,15 @@
     let view = context.partition_of(batch);
     let owner = owner_of(context, batch)?;
     let facts = QuestionFacts {
-        is_followed_here: view.is_followed(now) && !view.is_behind(now),
+        can_answer_locally: view.is_followed(now) && !view.is_behind(now),
         owner: Some(OwnerFacts {
             silent_ms: owner.silent_ms,
             is_paused: is_paused(context, &owner),
         }),
-        hears_others: context.control.is_current(now),
-        read_gap_ms: context.pace().gap_ms,
+        is_control_stream_current: context.control.is_current(now),
+        read_interval_ms: context.pace().gap_ms,
     };
-    let is_asked = peer_question::route(&facts) == QuestionRoute::Owner;
+    let is_asked = peer_question::choose_route(&facts) == QuestionRoute::Owner;
     is_asked.then_some(owner)
 }
 
@@ -168,7 +168,7 @@
     let request = PeerRequest {
         to: owner.node.clone(),
         zone: ZoneName::from(context.settings.zone.as_str()),
-        tenants: caller.acts_for(),
+        tenants: caller.effective_tenants(),
         batch: batch.clone(),
         question,
     };
@@ -178,9 +178,9 @@
     let asked = client::ask(&link, &request, most_bytes, until).await;
     let now = context.now();
     links.note(&owner.node, |record| match &asked {
-        Ok(PeerAnswer::Declined(_)) => record.declined(now),
-        Ok(_) => record.answered(),
-        Err(_) => record.failed(now),
+        Ok(PeerAnswer::Declined(_)) => record.record_refusal(now),
+        Ok(_) => record.record_answer(),
+        Err(_) => record.record_failure(now),
     });
     let outcome = outcome_of(&asked);
     let took_ms = began.elapsed().as_millis() as u64;
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -112,7 +112,7 @@
             match read(&mut current.answer, self.is_resumable).await {
                 Ok(Some(bytes)) if self.is_resumable => self.reader.push(&bytes),
                 Ok(Some(bytes)) => return Some(Ok(bytes)),
-                Ok(None) if current.answer.is_framed() && self.reader.rest().is_empty() => {
+                Ok(None) if current.answer.is_framed() && self.reader.remaining().is_empty() => {
                     let backend = &current.backend.id;
                     crash_guard::answered(&self.context, backend, true, || self.call.fingerprint());
                     self.current = None;
--- a/crates/gateway/src/send.rs
+++ b/crates/gateway/src/send.rs
@@ -136,14 +136,16 @@
     match outcome {
         SendOutcome::Answered(answer) if answer.status.is_success() => {
             let took = began.elapsed().as_millis() as u64;
-            backends.health.answered(backend, Some(took));
+            backends.health.record_answer(backend, Some(took));
         }
         SendOutcome::Answered(_) | SendOutcome::Streaming(_) => {
-            backends.health.answered(backend, None);
+            backends.health.record_answer(backend, None);
         }
         // No fault of the back end.
         SendOutcome::NotRun(TOO_LATE) => {}
-        SendOutcome::NotRun(_) | SendOutcome::MayHaveRun(_) => backends.health.failed(backend, now),
+        SendOutcome::NotRun(_) | SendOutcome::MayHaveRun(_) => {
+            backends.health.record_failure(backend, now)
+        }
     }
 }
 
--- a/crates/gateway/tests/silent_callers.rs
+++ b/crates/gateway/tests/silent_callers.rs
@@ -127,7 +127,7 @@
         let backends = node.context().backends.lock();
         backends
             .list
-            .get(&change.life().unwrap())
+            .get(&change.incarnation().unwrap())
             .is_some_and(|record| record.address == address)
     })
     .await;
--- a/crates/rollout/src/access.rs
+++ b/crates/rollout/src/access.rs
@@ -83,7 +83,7 @@
     /// Whether something that belongs to `owner` exists for this caller. A key that was passed on to another
     /// tenant a moment ago still shows its former holder's batches: the change reaches callers and nodes at
     /// different times.
-    pub fn may_see(&self, owner: Option<&TenantName>) -> bool {
+    pub fn can_see(&self, owner: Option<&TenantName>) -> bool {
         match (self, owner) {
             (_, None) | (Self::Anonymous, _) => true,
             (Self::Unverified, Some(_)) => false,
@@ -93,14 +93,14 @@
         }
     }
 
-    /// The caller that another node admitted as these tenants ([`Self::acts_for`]), or without a key.
-    pub fn admitted_elsewhere(tenants: Vec<TenantName>) -> Self {
+    /// The caller that another node admitted as these tenants ([`Self::effective_tenants`]), or without a key.
+    pub fn admitted_by_peer(tenants: Vec<TenantName>) -> Self {
         let holder = KeyHolder::acting_for(tenants);
         holder.map_or(Self::Anonymous, |holder| Self::KeyHolder(Arc::new(holder)))
     }
 
     /// Every tenant as which this caller may act on what lies in the log; empty for one without a key.
-    pub fn acts_for(&self) -> Vec<TenantName> {
+    pub fn effective_tenants(&self) -> Vec<TenantName> {
         match self {
             Self::Unverified | Self::Anonymous => Vec::new(),
             Self::KeyHolder(holder) => {
@@ -135,9 +135,10 @@
 }
 
 impl AccessTable {
-    /// The keys of a configuration that follows on `before`.
-    pub fn following(tenants: &[Tenant], before: Option<&Self>) -> Self {
-        let mut former = before.map_or_else(HashMap::new, |before| before.former_after(tenants));
+    /// The keys of a configuration that follows on `previous`.
+    pub fn replacing(tenants: &[Tenant], previous: Option<&Self>) -> Self {
+        let mut former =
+            previous.map_or_else(HashMap::new, |previous| previous.former_after(tenants));
         if former.len() > MOST_FORMER_KEYS {
             former.clear();
         }
--- a/crates/rollout/src/backend.rs
+++ b/crates/rollout/src/backend.rs
@@ -38,7 +38,7 @@
 
 impl BackendChange {
     /// The life that the new entry is of.
-    pub fn life(&self) -> Option<BackendId> {
+    pub fn incarnation(&self) -> Option<BackendId> {
         let record = self.record.as_ref()?;
         Some(BackendId::of_life(&self.name, record.started_at))
     }
@@ -63,7 +63,7 @@
     /// Takes one change; answers whether a life is not listed any more. An entry of an earlier life than the
     /// one known was written late and changes nothing.
     pub fn apply(&mut self, change: BackendChange) -> bool {
-        let life = change.life();
+        let life = change.incarnation();
         let BackendChange { name, record } = change;
         let known = self.lives.get(&name).cloned();
         let (Some(life), Some(record)) = (life, record) else {
@@ -128,7 +128,7 @@
     }
 
     /// Back ends of a pool that take new work, in the order of their ids. This, and
-    /// [`takes_requests`](Self::takes_requests) right before a request is sent, are all that says who does.
+    /// [`can_accept_requests`](Self::can_accept_requests) right before a request is sent, are all that says who does.
     pub fn ready_in<'a>(
         &'a self,
         pool: &'a PoolName,
@@ -148,7 +148,7 @@
     }
 
     /// Whether a back end may be sent a request that was meant for it a moment ago.
-    pub fn takes_requests(&self, id: &BackendId) -> bool {
+    pub fn can_accept_requests(&self, id: &BackendId) -> bool {
         self.get(id)
             .is_some_and(|record| !self.is_evacuated(&record.zone))
     }
@@ -192,9 +192,9 @@
     }
 
     /// Whether another back end is listed at an address: the next life of the one that was there.
-    pub fn is_taken_over(&self, address: SocketAddr, by_other_than: &BackendId) -> bool {
+    pub fn is_address_reused(&self, address: SocketAddr, former: &BackendId) -> bool {
         let mut entries = self.entries.iter();
-        entries.any(|(id, record)| record.address == address && id != by_other_than)
+        entries.any(|(id, record)| record.address == address && id != former)
     }
 
     /// How many entries there are.
--- a/crates/rollout/src/backend_digest.rs
+++ b/crates/rollout/src/backend_digest.rs
@@ -135,7 +135,7 @@
     /// Pools of which more is wanted, and how often that was said.
     wanted: BTreeMap<PoolName, u64>,
     /// When a holder's record was last read.
-    kept_at: Option<Millis>,
+    last_holder_record_at: Option<Millis>,
 }
 
 impl DigestState {
@@ -184,7 +184,7 @@
     fn note_term(&mut self, term: Term, now: Millis) {
         if term >= self.term {
             self.term = term;
-            self.kept_at = Some(now);
+            self.last_holder_record_at = Some(now);
         }
     }
 
@@ -201,8 +201,8 @@
     }
 
     /// When a holder's record was last read.
-    pub fn kept_at(&self) -> Option<Millis> {
-        self.kept_at
+    pub fn last_holder_record_at(&self) -> Option<Millis> {
+        self.last_holder_record_at
     }
 
     /// How often more back ends of each pool were wanted.
@@ -238,7 +238,7 @@
 
 /// Changes that bring a digest up to date with the directory: entries that changed or are gone, and new ones in the
 /// order of their names until each pool has as many that take work as `wanted` says.
-pub fn changes_to(
+pub fn compute_changes(
     digest: &DigestState,
     directory: &BackendList,
     wanted: impl Fn(&PoolName) -> usize,
--- a/crates/rollout/src/control.rs
+++ b/crates/rollout/src/control.rs
@@ -135,7 +135,7 @@
     pub fn restored(own_machine: MachineName, checkpoint: ControlCheckpoint, now: Millis) -> Self {
         let mut state = Self::new(own_machine);
         for machine in checkpoint.machines {
-            state.fleet.joined(machine);
+            state.fleet.record_announcement(machine);
         }
         state.index = BatchIndex::restored(checkpoint.batches, &checkpoint.found, now);
         state.lease = LeaseState::restored(checkpoint.term, checkpoint.holder, now);
@@ -171,14 +171,14 @@
     /// Takes the next record.
     pub fn apply(&mut self, record: ControlRecord, now: Millis) {
         match record {
-            ControlRecord::Joined { machine } => self.fleet.joined(machine),
+            ControlRecord::Joined { machine } => self.fleet.record_announcement(machine),
             ControlRecord::Heartbeat {
                 node,
                 routes,
                 batches,
             } => {
                 self.index.held(&node, &batches, now);
-                self.peers.lives(&node, now);
+                self.peers.record_heartbeat(&node, now);
                 for route in routes {
                     let serving = Serving {
                         node: node.clone(),
@@ -250,9 +250,11 @@
                 self.sizes.entry(pool).or_default().insert(zone, size);
             }
             ControlRecord::UsageSettled { window } => self.usage.settle(window),
-            ControlRecord::PeerListens { node, address } => self.peers.listens(node, address, now),
+            ControlRecord::PeerListens { node, address } => {
+                self.peers.record_address(node, address, now)
+            }
             ControlRecord::Reachable { machine, address } => {
-                self.reachable.told(machine, address);
+                self.reachable.record_address(machine, address);
             }
         }
     }
--- a/crates/rollout/src/event_stream.rs
+++ b/crates/rollout/src/event_stream.rs
@@ -39,7 +39,7 @@
     }
 
     /// Bytes that are not part of a whole event yet.
-    pub fn rest(&self) -> &[u8] {
+    pub fn remaining(&self) -> &[u8] {
         &self.buffer
     }
 
--- a/crates/rollout/src/fleet_size.rs
+++ b/crates/rollout/src/fleet_size.rs
@@ -46,7 +46,7 @@
 
 impl FleetSize {
     /// A machine announced itself.
-    pub fn joined(&mut self, machine: MachineName) {
+    pub fn record_announcement(&mut self, machine: MachineName) {
         self.smallest.insert(hash(&machine), machine.clone());
         if self.smallest.len() > SKETCH_MACHINES {
             self.smallest.pop_last();
--- a/crates/rollout/src/health.rs
+++ b/crates/rollout/src/health.rs
@@ -21,13 +21,13 @@
 
 /// Health of all back ends, as one node has seen it.
 #[derive(Debug, Default)]
-pub struct HealthBoard {
+pub struct BackendHealth {
     seen: BTreeMap<BackendId, Seen>,
 }
 
-impl HealthBoard {
+impl BackendHealth {
     /// A request failed there, or it could not be reached.
-    pub fn failed(&mut self, backend: &BackendId, now: Millis) {
+    pub fn record_failure(&mut self, backend: &BackendId, now: Millis) {
         let seen = self.seen.entry(backend.clone()).or_default();
         let doublings = seen.failures.min(8);
         let avoidance = (FIRST_AVOIDANCE_MS << doublings).min(LONGEST_AVOIDANCE_MS);
@@ -36,7 +36,7 @@
     }
 
     /// It answered, after so long; `None` where the time says nothing.
-    pub fn answered(&mut self, backend: &BackendId, took_ms: Option<Millis>) {
+    pub fn record_answer(&mut self, backend: &BackendId, took_ms: Option<Millis>) {
         let seen = self.seen.entry(backend.clone()).or_default();
         seen.failures = 0;
         seen.avoid_until = 0;
--- a/crates/rollout/src/peer_addresses.rs
+++ b/crates/rollout/src/peer_addresses.rs
@@ -31,7 +31,7 @@
 
 impl PeerAddresses {
     /// A node told its address.
-    pub fn listens(&mut self, node: NodeId, address: SocketAddr, now: Millis) {
+    pub fn record_address(&mut self, node: NodeId, address: SocketAddr, now: Millis) {
         let peer = KnownPeer {
             life: node.life,
             address,
@@ -41,7 +41,7 @@
     }
 
     /// A node told that it is alive.
-    pub fn lives(&mut self, node: &NodeId, now: Millis) {
+    pub fn record_heartbeat(&mut self, node: &NodeId, now: Millis) {
         let known = self.0.get_mut(&node.machine);
         if let Some(known) = known.filter(|known| known.life == node.life) {
             known.heard = now;
@@ -77,7 +77,7 @@
     pub fn restored(peers: Vec<PeerAddress>, now: Millis) -> Self {
         let mut addresses = Self::default();
         for PeerAddress { node, address } in peers {
-            addresses.listens(node, address, now);
+            addresses.record_address(node, address, now);
         }
         addresses
     }
--- a/crates/rollout/src/peer_question.rs
+++ b/crates/rollout/src/peer_question.rs
@@ -23,13 +23,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QuestionFacts {
     /// Whether this node reads the batch's partition anyhow, or can answer from what it has read.
-    pub is_followed_here: bool,
+    pub can_answer_locally: bool,
     /// The other node that runs the batch and told its address.
     pub owner: Option<OwnerFacts>,
     /// Whether the control stream is read here, in which others tell that they are alive.
-    pub hears_others: bool,
+    pub is_control_stream_current: bool,
     /// Usual milliseconds between two reads of it.
-    pub read_gap_ms: Millis,
+    pub read_interval_ms: Millis,
 }
 
 /// What is known of the node that runs a batch.
@@ -45,7 +45,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QuestionRoute {
     /// To this node's own copy, which the log confirms.
-    Here,
+    LocalCopy,
     /// To the node that runs the batch; if that brings no answer, to the log.
     Owner,
     /// To the log, from which this node reads the batch.
@@ -53,9 +53,9 @@
 }
 
 /// Where a question goes.
-pub fn route(facts: &QuestionFacts) -> QuestionRoute {
-    if facts.is_followed_here {
-        return QuestionRoute::Here;
+pub fn choose_route(facts: &QuestionFacts) -> QuestionRoute {
+    if facts.can_answer_locally {
+        return QuestionRoute::LocalCopy;
     }
     match facts.owner {
         Some(owner) if !owner.is_paused && owner.silent_ms <= longest_silence_ms(facts) => {
@@ -66,33 +66,33 @@
 }
 
 fn longest_silence_ms(facts: &QuestionFacts) -> Millis {
-    match facts.hears_others {
-        true => LONGEST_SILENCE_MS + facts.read_gap_ms,
+    match facts.is_control_stream_current {
+        true => LONGEST_SILENCE_MS + facts.read_interval_ms,
         false => LONGEST_SILENCE_WITHOUT_LOG_MS,
     }
 }
 
 /// How another node has answered lately.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct PeerRecord {
+pub struct PeerBackoff {
     failures: u32,
     paused_until: Millis,
 }
 
-impl PeerRecord {
+impl PeerBackoff {
     /// It answered.
-    pub fn answered(&mut self) {
+    pub fn record_answer(&mut self) {
         *self = Self::default();
     }
 
     /// It said that it does not answer this.
-    pub fn declined(&mut self, now: Millis) {
+    pub fn record_refusal(&mut self, now: Millis) {
         self.failures = 0;
         self.paused_until = now + DECLINED_PAUSE_MS;
     }
 
     /// No answer came from it.
-    pub fn failed(&mut self, now: Millis) {
+    pub fn record_failure(&mut self, now: Millis) {
         let doubled = FAILED_PAUSE_MS.saturating_mul(1 << self.failures.min(16));
         self.failures += 1;
         self.paused_until = now + doubled.min(LONGEST_PAUSE_MS);
--- a/crates/rollout/src/reachable_machines.rs
+++ b/crates/rollout/src/reachable_machines.rs
@@ -13,12 +13,12 @@
 
 /// Most addresses that are kept; 32 take 1 KB in a checkpoint. They stand in all zones, so that some are left when a zone
 /// is gone.
-pub const MOST_ADDRESSES: usize = 32;
+pub const MAX_ADDRESSES: usize = 32;
 
 /// Whether all machines of a fleet may tell their addresses at once: each is kept, so none has to wait for those with
 /// smaller hashes. Until a machine has told its own, nobody hears from others what it alone knows.
-pub fn is_told_at_once(fleet: usize) -> bool {
-    fleet <= MOST_ADDRESSES
+pub fn can_announce_at_once(fleet: usize) -> bool {
+    fleet <= MAX_ADDRESSES
 }
 
 /// Addresses of machines as a checkpoint keeps them.
@@ -39,7 +39,7 @@
     pub fn restored(addresses: ReachableAddresses) -> Self {
         let mut restored = Self::default();
         for (machine, address) in addresses {
-            restored.told(machine, address);
+            restored.record_address(machine, address);
         }
         restored
     }
@@ -50,9 +50,9 @@
     }
 
     /// A machine told its address; its newest one counts.
-    pub fn told(&mut self, machine: MachineName, address: SocketAddr) {
+    pub fn record_address(&mut self, machine: MachineName, address: SocketAddr) {
         self.addresses.insert(machine, address);
-        if self.addresses.len() > MOST_ADDRESSES
+        if self.addresses.len() > MAX_ADDRESSES
             && let Some(largest) = self.largest().cloned()
         {
             self.addresses.remove(&largest);
@@ -63,7 +63,7 @@
     pub fn is_wanted(&self, machine: &MachineName, address: SocketAddr) -> bool {
         match self.addresses.get(machine) {
             Some(known) => *known != address,
-            None if self.addresses.len() < MOST_ADDRESSES => true,
+            None if self.addresses.len() < MAX_ADDRESSES => true,
             None => self
                 .largest()
                 .is_some_and(|largest| hash(machine) < hash(largest)),
@@ -72,7 +72,7 @@
 
     /// Up to `count` addresses of other machines than `own`. Which ones, the draw decides, so that a machine that is
     /// gone is not asked again and again. They lie far apart in the order of names, which often name the zone.
-    pub fn some_others(&self, own: &MachineName, count: usize, draw: u64) -> Vec<SocketAddr> {
+    pub fn sample_others(&self, own: &MachineName, count: usize, draw: u64) -> Vec<SocketAddr> {
         let others = self.addresses.iter().filter(|(machine, _)| *machine != own);
         let others: Vec<SocketAddr> = others.map(|(_, address)| *address).collect();
         let count = count.min(others.len());
--- a/crates/rollout/src/route.rs
+++ b/crates/rollout/src/route.rs
@@ -27,7 +27,7 @@
 
 impl RequestKind {
     /// Whether a request may run again after it may have run.
-    pub fn may_repeat(self) -> bool {
+    pub fn can_repeat(self) -> bool {
         matches!(
             self,
             Self::Repeatable | Self::Batch | Self::Stream { resumable: true }
@@ -166,12 +166,13 @@
 impl RouteTable {
     /// Prepares a configuration.
     pub fn new(config: RoutingConfig) -> Self {
-        Self::following(config, None)
+        Self::replacing(config, None)
     }
 
-    /// Prepares a configuration that takes the place of `before`.
-    pub fn following(config: RoutingConfig, before: Option<&Self>) -> Self {
-        let access = AccessTable::following(&config.tenants, before.map(|before| &before.access));
+    /// Prepares a configuration that takes the place of `previous`.
+    pub fn replacing(config: RoutingConfig, previous: Option<&Self>) -> Self {
+        let access =
+            AccessTable::replacing(&config.tenants, previous.map(|previous| &previous.access));
         let mut by_host: HashMap<String, Vec<Arc<Route>>> = HashMap::new();
         for route in config.routes {
             let host = route.host.to_ascii_lowercase();
--- a/crates/rollout/tests/backend_digest.rs
+++ b/crates/rollout/tests/backend_digest.rs
@@ -1,7 +1,9 @@
 //! The digest of the directory of back ends: what it holds, how it follows, and what it costs.
 
 use havenstage_rollout::backend::{BackendChange, BackendList, BackendRecord};
-use havenstage_rollout::backend_digest::{DigestCheckpoint, DigestRecord, DigestState, changes_to};
+use havenstage_rollout::backend_digest::{
+    DigestCheckpoint, DigestRecord, DigestState, compute_changes,
+};
 use havenstage_rollout::ids::{BackendName, ModelName, PoolName};
 use havenstage_rollout::lease::Term;
 use havenstage_rollout::stored::Stored;
@@ -58,7 +60,7 @@
 
 /// Brings a digest up to date; answers the bytes that were written for it.
 fn update(digest: &mut DigestState, directory: &BackendList, term: Term) -> usize {
-    let changes = changes_to(digest, directory, |_| WANTED);
+    let changes = compute_changes(digest, directory, |_| WANTED);
     let record = DigestRecord::Changed { term, changes };
     let bytes = record.encode();
     digest.apply(DigestRecord::decode(&bytes).unwrap(), 0);
@@ -150,11 +152,15 @@
     digest.apply(DigestRecord::Kept { term: 4 }, 10);
     let late = DigestRecord::Changed {
         term: 3,
-        changes: changes_to(&digest, &empty, |_| WANTED),
+        changes: compute_changes(&digest, &empty, |_| WANTED),
     };
     digest.apply(late, 20);
     assert!(digest.take_changes().is_empty());
-    assert_eq!(digest.kept_at(), Some(10), "nor are they signs of life");
+    assert_eq!(
+        digest.last_holder_record_at(),
+        Some(10),
+        "nor are they signs of life"
+    );
     update(&mut digest, &empty, 4);
     assert!(digest.is_empty());
 }
@@ -169,5 +175,9 @@
     let mut restored = DigestState::restored(checkpoint);
     assert_eq!(restored.all(), digest.all());
     restored.apply(DigestRecord::Kept { term: 6 }, 5);
-    assert_eq!(restored.kept_at(), None, "its term is known too");
+    assert_eq!(
+        restored.last_holder_record_at(),
+        None,
+        "its term is known too"
+    );
 }
--- a/crates/rollout/tests/backends.rs
+++ b/crates/rollout/tests/backends.rs
@@ -113,7 +113,7 @@
     assert!(list.set_evacuated(&zone, true));
     assert!(!list.set_evacuated(&zone, true), "known already");
     assert_eq!(listed(&list), ["b2"]);
-    assert!(!list.takes_requests(&id("b1")) && list.takes_requests(&id("b2")));
+    assert!(!list.can_accept_requests(&id("b1")) && list.can_accept_requests(&id("b2")));
     list.apply(entry("b3", Some(record(None))));
     assert_eq!(listed(&list), ["b2"], "one that starts there meanwhile");
     assert_eq!(list.serving_in(&PoolName::from("pool")).count(), 3);
--- a/crates/rollout/tests/fleet_size.rs
+++ b/crates/rollout/tests/fleet_size.rs
@@ -33,7 +33,7 @@
         let now = announce_delay(machine);
         let mut known = FleetSize::default();
         let read = log.iter().filter(|record| record.at + READ_LAG <= now);
-        read.for_each(|record| known.joined(record.machine.clone()));
+        read.for_each(|record| known.record_announcement(record.machine.clone()));
         if known.is_wanted(machine) {
             let free = log.last().map_or(Duration::ZERO, |last| last.at);
             log.push(Announced {
@@ -48,7 +48,7 @@
 fn known(log: &[Announced], at: Duration) -> FleetSize {
     let mut known = FleetSize::default();
     let read = log.iter().filter(|record| record.at <= at);
-    read.for_each(|record| known.joined(record.machine.clone()));
+    read.for_each(|record| known.record_announcement(record.machine.clone()));
     known
 }
 
@@ -122,7 +122,7 @@
     fleet
         .iter()
         .cloned()
-        .for_each(|machine| known.joined(machine));
+        .for_each(|machine| known.record_announcement(machine));
     assert_eq!(known.machines().len(), MOST_ANNOUNCED);
     assert!(known.estimate(Duration::ZERO) >= MOST_ANNOUNCED);
     assert!(!known.is_wanted(&fleet[7]), "it is known");
--- a/crates/rollout/tests/reachable_machines.rs
+++ b/crates/rollout/tests/reachable_machines.rs
@@ -8,7 +8,7 @@
 use havenstage_rollout::control_record::ControlRecord;
 use havenstage_rollout::ids::MachineName;
 use havenstage_rollout::reachable_machines::{
-    MOST_ADDRESSES, ReachableAddresses, ReachableMachines, is_told_at_once,
+    MAX_ADDRESSES, ReachableAddresses, ReachableMachines, can_announce_at_once,
 };
 use havenstage_rollout::stored::Stored;
 
@@ -26,7 +26,7 @@
     for number in 0..machines {
         let machine = machine(number);
         if addresses.is_wanted(&machine, address(number)) {
-            addresses.told(machine, address(number));
+            addresses.record_address(machine, address(number));
             told += 1;
         }
     }
@@ -37,7 +37,7 @@
 fn a_small_fleet_knows_all_its_addresses() {
     let mut addresses = ReachableMachines::default();
     assert_eq!(tell_all(&mut addresses, 4), 4);
-    let others = addresses.some_others(&machine(1), 8, 0);
+    let others = addresses.sample_others(&machine(1), 8, 0);
     let expected = [address(0), address(2), address(3)];
     assert_eq!(others, expected);
 }
@@ -46,7 +46,7 @@
 fn what_is_kept_does_not_grow_with_the_fleet() {
     let mut addresses = ReachableMachines::default();
     tell_all(&mut addresses, 2_000);
-    assert_eq!(addresses.checkpoint().len(), MOST_ADDRESSES);
+    assert_eq!(addresses.checkpoint().len(), MAX_ADDRESSES);
     let again = tell_all(&mut addresses, 2_000);
     assert_eq!(again, 0, "all that are wanted are known");
 }
@@ -55,8 +55,8 @@
 fn nodes_that_read_in_another_order_keep_the_same() {
     let (mut one, mut other) = (ReachableMachines::default(), ReachableMachines::default());
     for number in 0..100 {
-        one.told(machine(number), address(number));
-        other.told(machine(99 - number), address(99 - number));
+        one.record_address(machine(number), address(number));
+        other.record_address(machine(99 - number), address(99 - number));
     }
     assert_eq!(one.checkpoint(), other.checkpoint());
 }
@@ -64,22 +64,22 @@
 #[test]
 fn a_machine_that_moved_tells_its_new_address() {
     let mut addresses = ReachableMachines::default();
-    addresses.told(machine(1), address(1));
+    addresses.record_address(machine(1), address(1));
     assert!(!addresses.is_wanted(&machine(1), address(1)));
     assert!(addresses.is_wanted(&machine(1), address(2)));
-    addresses.told(machine(1), address(2));
-    assert_eq!(addresses.some_others(&machine(0), 8, 0), [address(2)]);
+    addresses.record_address(machine(1), address(2));
+    assert_eq!(addresses.sample_others(&machine(0), 8, 0), [address(2)]);
 }
 
 #[test]
 fn each_draw_asks_others() {
     let mut addresses = ReachableMachines::default();
     tell_all(&mut addresses, 6);
-    let asked = (0..5).map(|draw| addresses.some_others(&machine(0), 1, draw));
+    let asked = (0..5).map(|draw| addresses.sample_others(&machine(0), 1, draw));
     let asked: BTreeSet<SocketAddr> = asked.flatten().collect();
     assert_eq!(asked.len(), 5);
     let alone = ReachableMachines::default();
-    assert!(alone.some_others(&machine(0), 1, 7).is_empty());
+    assert!(alone.sample_others(&machine(0), 1, 7).is_empty());
 }
 
 /// While a release goes on, the checkpoint may be of the build before.
@@ -93,7 +93,7 @@
     let restored = ControlState::restored(MachineName::from("reader"), read, 9);
     let others = restored
         .reachable()
-        .some_others(&MachineName::from("reader"), 1, 0);
+        .sample_others(&MachineName::from("reader"), 1, 0);
     assert_eq!(others, [address]);
     let before = ControlCheckpoint {
         form: FORM - 1,
@@ -110,7 +110,7 @@
     let mut addresses = ReachableMachines::default();
     tell_all(&mut addresses, 9);
     for draw in 0..8 {
-        let asked = addresses.some_others(&machine(0), 2, draw);
+        let asked = addresses.sample_others(&machine(0), 2, draw);
         let ports: Vec<u16> = asked.iter().map(SocketAddr::port).collect();
         assert_eq!(ports[0].abs_diff(ports[1]), 4, "{ports:?}");
     }
@@ -119,6 +119,6 @@
 /// A fleet of which each machine's address is kept has nobody wait for a turn.
 #[test]
 fn only_small_fleets_tell_their_addresses_at_once() {
-    assert!(is_told_at_once(1) && is_told_at_once(MOST_ADDRESSES));
-    assert!(!is_told_at_once(MOST_ADDRESSES + 1));
+    assert!(can_announce_at_once(1) && can_announce_at_once(MAX_ADDRESSES));
+    assert!(!can_announce_at_once(MAX_ADDRESSES + 1));
 }
