--- a/crates/rollout/src/access.rs
+++ b/crates/rollout/src/access.rs
@@ -1,4 +1,4 @@
-//! Who may call: tenants, the keys that they hold, and what a presented key stands for.
+//! Access control: tenants, their API keys, and which tenant a presented key identifies.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -8,38 +8,38 @@
 use crate::ids::{ApiKey, TenantName};
 use crate::residency::Residency;
 
-/// Most keys whose former holders are remembered. Far more than change hands while a request may be on its
-/// way; it only bounds memory.
-const MOST_FORMER_KEYS: usize = 10_000;
+/// Maximum number of keys whose former holders are remembered. It bounds memory, and is far more than the keys that
+/// are reassigned while a request is in flight.
+const MAX_FORMER_KEYS: usize = 10_000;
 
 /// A tenant as operators configure it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Tenant {
-    /// Its name, which back ends are told.
+    /// Name of the tenant, which is passed on to back ends.
     pub name: TenantName,
-    /// The keys that its callers present.
+    /// API keys that identify its callers.
     pub keys: Vec<ApiKey>,
-    /// Rank of its requests, where 0 is the most urgent; goes before the route's.
+    /// Rank of its requests, where 0 is the most urgent; overrides the route's. `None` uses the route's.
     pub priority: Option<u32>,
-    /// Where its requests may be served and its data kept.
+    /// Regions in which its requests may be served and its data stored.
     pub residency: Residency,
 }
 
-/// The holder of a key.
+/// What a known API key stands for: its tenant, and the tenants that held it before.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KeyHolder {
     /// The tenant that holds the key now.
     pub tenant: TenantName,
-    /// Rank of its requests, where 0 is the most urgent; `None` leaves it to the route.
+    /// Rank of the tenant's requests, where 0 is the most urgent; `None` uses the route's.
     pub priority: Option<u32>,
     /// Tenants that held the key in earlier configurations.
     former: BTreeSet<TenantName>,
 }
 
 impl KeyHolder {
-    /// The holder as which another node has admitted a caller, by every tenant that it acts for; `None` if there
-    /// is none. Its rank is not known.
-    fn acting_for(mut tenants: Vec<TenantName>) -> Option<Self> {
+    /// The key holder that another node admitted, from the tenants as which it may act, the present one first;
+    /// `None` if there are none. Its rank is not known here.
+    fn from_tenants(mut tenants: Vec<TenantName>) -> Option<Self> {
         if tenants.is_empty() {
             return None;
         }
@@ -52,19 +52,19 @@
     }
 }
 
-/// Who makes a request.
+/// Identity of the caller of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Caller {
-    /// Somebody of whom nothing can be said, as no configuration is known yet.
+    /// A caller that cannot be checked because this node has read no configuration yet.
     Unverified,
-    /// Somebody without a key, where none is asked for.
+    /// A caller without a key, where none is required.
     Anonymous,
-    /// The holder of a key.
+    /// A caller that presented a known key.
     KeyHolder(Arc<KeyHolder>),
 }
 
 impl Caller {
-    /// The tenant whose key was presented.
+    /// The tenant that holds the presented key; `None` for a caller without a known key.
     pub fn tenant(&self) -> Option<&TenantName> {
         match self {
             Self::Unverified | Self::Anonymous => None,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Rank of this caller's requests, where 0 is the most urgent; `None` leaves it to the route.
+    /// Rank of this caller's requests, where 0 is the most urgent; `None` uses the route's.
     pub fn priority(&self) -> Option<u32> {
         match self {
             Self::Unverified | Self::Anonymous => None,
@@ -80,9 +80,10 @@
         }
     }
 
-    /// Whether something that belongs to `owner` exists for this caller. A key that was passed on to another
-    /// tenant a moment ago still shows its former holder's batches: the change reaches callers and nodes at
-    /// different times.
+    /// Whether this caller can see a batch of `owner`; `None` is a batch without a tenant, which everybody sees.
+    ///
+    /// The holder of a key that was reassigned also sees the batches of the tenants that held the key before:
+    /// callers and nodes learn of the change at different times.
     pub fn can_see(&self, owner: Option<&TenantName>) -> bool {
         match (self, owner) {
             (_, None) | (Self::Anonymous, _) => true,
@@ -93,13 +94,15 @@
         }
     }
 
-    /// The caller that another node admitted as these tenants ([`Self::effective_tenants`]), or without a key.
+    /// The caller that another node admitted and for which it sent these tenants ([`Self::effective_tenants`]); an
+    /// anonymous one if the list is empty.
     pub fn admitted_by_peer(tenants: Vec<TenantName>) -> Self {
-        let holder = KeyHolder::acting_for(tenants);
+        let holder = KeyHolder::from_tenants(tenants);
         holder.map_or(Self::Anonymous, |holder| Self::KeyHolder(Arc::new(holder)))
     }
 
-    /// Every tenant as which this caller may act on what lies in the log; empty for one without a key.
+    /// Every tenant as which this caller may act on batches in the log: the present holder of its key first, then the
+    /// former ones. Empty for a caller without a key.
     pub fn effective_tenants(&self) -> Vec<TenantName> {
         match self {
             Self::Unverified | Self::Anonymous => Vec::new(),
@@ -111,35 +114,35 @@
     }
 }
 
-/// Why a request is turned away.
+/// Why a request is rejected with status 401.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum Denied {
-    /// It presents no key.
+    /// The request presents no key, where one is required.
     #[error("no key")]
     NoKey,
-    /// No tenant holds the key that it presents.
+    /// No tenant holds the key that the request presents.
     #[error("unknown key")]
     UnknownKey,
 }
 
-/// The keys of a configuration.
+/// The tenants of a configuration, indexed by API key and by name.
 #[derive(Debug, Default)]
 pub struct AccessTable {
-    /// Whether there are tenants, so that callers need keys; also if all keys were taken away.
+    /// Whether the configuration has tenants, so that callers need keys; also true if no tenant has a key left.
     has_tenants: bool,
     holders: HashMap<ApiKey, Arc<KeyHolder>>,
-    /// Tenants that held each key in any configuration so far, of keys that changed hands or were taken away.
+    /// For each key that was reassigned or revoked: the tenants that held it in earlier configurations.
     former: HashMap<ApiKey, BTreeSet<TenantName>>,
     residencies: HashMap<TenantName, Residency>,
     priorities: HashMap<TenantName, u32>,
 }
 
 impl AccessTable {
-    /// The keys of a configuration that follows on `previous`.
+    /// Builds the table of a configuration that replaces `previous`, and remembers former holders of its keys.
     pub fn replacing(tenants: &[Tenant], previous: Option<&Self>) -> Self {
         let mut former =
             previous.map_or_else(HashMap::new, |previous| previous.former_after(tenants));
-        if former.len() > MOST_FORMER_KEYS {
+        if former.len() > MAX_FORMER_KEYS {
             former.clear();
         }
         let mut holders = HashMap::new();
@@ -168,17 +171,17 @@
         }
     }
 
-    /// Where a tenant's requests may be served and its data kept.
+    /// Regions in which a tenant's requests may be served and its data stored; unrestricted for an unknown tenant.
     pub fn residency_of(&self, tenant: &TenantName) -> Residency {
         self.residencies.get(tenant).cloned().unwrap_or_default()
     }
 
-    /// Rank of a tenant's requests, where 0 is the most urgent; `None` leaves it to the route.
+    /// Rank of a tenant's requests, where 0 is the most urgent; `None` uses the route's.
     pub fn priority_of(&self, tenant: &TenantName) -> Option<u32> {
         self.priorities.get(tenant).copied()
     }
 
-    /// Former holders once `tenants` hold what they are given.
+    /// Former holders of all keys once the configuration with `tenants` replaces this one.
     fn former_after(&self, tenants: &[Tenant]) -> HashMap<ApiKey, BTreeSet<TenantName>> {
         let mut next: HashMap<&ApiKey, &TenantName> = HashMap::new();
         for tenant in tenants {
@@ -194,8 +197,12 @@
         former
     }
 
-    /// Who presents a key, or none, on a route. A key that nobody holds is turned away everywhere, as it
-    /// may be one that was taken away.
+    /// Identifies the caller that presents `key`, where `is_public` says whether the route admits callers without one.
+    ///
+    /// # Errors
+    ///
+    /// [`Denied::NoKey`] if there is no key and the route is not public. [`Denied::UnknownKey`] if no tenant holds the
+    /// key, also on a public route, as the key may have been revoked.
     pub fn admit(&self, key: Option<&str>, is_public: bool) -> Result<Caller, Denied> {
         if !self.has_tenants {
             return Ok(Caller::Anonymous);
--- a/crates/rollout/src/backend.rs
+++ b/crates/rollout/src/backend.rs
@@ -1,4 +1,7 @@
-//! Back ends as their own entries in the platform's list tell of them.
+//! The list of back ends, built from the entries that they write about themselves into the platform's directory.
+//!
+//! An incarnation is one start of a back end's process. Processes that start one after the other under the same name
+//! are different incarnations of one back end.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -6,38 +9,38 @@
 use crate::Millis;
 use crate::ids::{BackendId, BackendName, ModelName, PoolName, Version, ZoneName};
 
-/// What a back end says of itself.
+/// The entry that a back end writes about itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BackendRecord {
-    /// Pool it belongs to.
+    /// Pool whose requests the back end serves.
     pub pool: PoolName,
-    /// Where it listens.
+    /// Address at which it accepts connections.
     pub address: SocketAddr,
-    /// Zone it stands in.
+    /// Zone in which it runs.
     pub zone: String,
-    /// Requests it works on at a time.
+    /// Number of requests that it runs at the same time.
     pub slots: u32,
-    /// Whether it leaves: it gets no new work.
+    /// Whether it is about to stop, and is to get no new work.
     pub draining: bool,
-    /// Time for which it is cold from when it wrote this, in milliseconds.
+    /// Milliseconds for which it stays cold, counted from when it wrote the entry; 0 if it is warm.
     pub cold_left_ms: Millis,
-    /// Versions of the models it holds.
+    /// Loaded version of each model.
     pub models: BTreeMap<ModelName, Version>,
-    /// When its process started, in milliseconds since the beginning of 1970, if it tells that.
+    /// Start of its process in milliseconds since the Unix epoch; `None` if the back end doesn't report it.
     pub started_at: Option<u64>,
 }
 
-/// A change of the list.
+/// A change of one entry of the directory.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BackendChange {
-    /// Whose entry changed.
+    /// Name of the back end whose entry changed.
     pub name: BackendName,
-    /// The new entry, or `None` when it was removed.
+    /// The new entry; `None` if it was removed.
     pub record: Option<BackendRecord>,
 }
 
 impl BackendChange {
-    /// The life that the new entry is of.
+    /// The incarnation that wrote the new entry; `None` if the entry was removed.
     pub fn incarnation(&self) -> Option<BackendId> {
         let record = self.record.as_ref()?;
         Some(BackendId::from_name_and_start(
@@ -47,64 +50,65 @@
     }
 }
 
-/// Lives that are remembered after the next one took their place: a node that stood still looks back by
-/// seconds.
-const REMEMBERED_LIVES: usize = 64;
+/// Number of crashed incarnations that are remembered after the next one replaced them. A node that was suspended
+/// asks about incarnations that ended some seconds ago.
+const MAX_CRASHED_INCARNATIONS: usize = 64;
 
-/// All back ends known.
+/// All known back ends, with the newest incarnation of each.
 #[derive(Debug, Default)]
 pub struct BackendList {
     entries: BTreeMap<BackendId, BackendRecord>,
-    lives: BTreeMap<BackendName, BackendId>,
-    /// Lives that ended without a word of leaving: the next one is listed under their name.
+    incarnations: BTreeMap<BackendName, BackendId>,
+    /// Incarnations that were replaced by the next one without having been listed as draining.
     crashed: VecDeque<BackendId>,
-    /// Zones that operators want emptied: their back ends get nothing new.
+    /// Zones that operators evacuate: their back ends get no new work.
     evacuated: BTreeSet<ZoneName>,
 }
 
 impl BackendList {
-    /// Takes one change; answers whether a life is not listed any more. An entry of an earlier life than the
-    /// one known was written late and changes nothing.
+    /// Applies a change, and returns whether an incarnation is no longer listed because of it. An entry of an earlier
+    /// incarnation than the known one was written late and is ignored.
     pub fn apply(&mut self, change: BackendChange) -> bool {
-        let life = change.incarnation();
+        let incarnation = change.incarnation();
         let BackendChange { name, record } = change;
-        let known = self.lives.get(&name).cloned();
-        let (Some(life), Some(record)) = (life, record) else {
+        let known = self.incarnations.get(&name).cloned();
+        let (Some(incarnation), Some(record)) = (incarnation, record) else {
             return self.remove(&name);
         };
-        let former = known.filter(|known| *known != life);
+        let former = known.filter(|known| *known != incarnation);
         if let Some(former) = &former {
-            if former.started_at() > life.started_at() {
+            if former.started_at() > incarnation.started_at() {
                 return false;
             }
-            self.next_life_took_place_of(&name, former);
+            self.remove_replaced(&name, former);
         }
-        self.lives.insert(name, life.clone());
-        self.entries.insert(life, record);
+        self.incarnations.insert(name, incarnation.clone());
+        self.entries.insert(incarnation, record);
         former.is_some()
     }
 
     fn remove(&mut self, name: &BackendName) -> bool {
-        let life = self.lives.remove(name);
-        life.is_some_and(|life| self.entries.remove(&life).is_some())
+        let incarnation = self.incarnations.remove(name);
+        incarnation.is_some_and(|incarnation| self.entries.remove(&incarnation).is_some())
     }
 
-    fn next_life_took_place_of(&mut self, name: &BackendName, former: &BackendId) {
-        let has_left = self.get(former).is_some_and(|record| record.draining);
+    /// Removes an incarnation that the next one replaces, and remembers it as crashed unless it was draining.
+    fn remove_replaced(&mut self, name: &BackendName, former: &BackendId) {
+        let was_draining = self.get(former).is_some_and(|record| record.draining);
         self.remove(name);
-        if has_left {
+        if was_draining {
             return;
         }
-        if self.crashed.len() == REMEMBERED_LIVES {
+        if self.crashed.len() == MAX_CRASHED_INCARNATIONS {
             self.crashed.pop_front();
         }
         self.crashed.push_back(former.clone());
     }
 
-    /// Replaces the whole list.
+    /// Replaces the list by the entries of a full listing; back ends that are not among them are removed.
     pub fn replace(&mut self, entries: BTreeMap<BackendName, BackendRecord>) {
         let gone: Vec<BackendName> = self
-            .lives
+            .incarnations
             .keys()
             .filter(|name| !entries.contains_key(*name))
             .cloned()
@@ -120,18 +124,19 @@
         }
     }
 
-    /// Whether a life ended without a word of leaving, as the next one is listed under its name.
+    /// Whether an incarnation is known to have crashed: the next one was listed under its name before it was listed as
+    /// draining. Only the most recent ones are remembered.
     pub fn has_crashed(&self, id: &BackendId) -> bool {
         self.crashed.contains(id)
     }
 
-    /// An entry.
+    /// The entry of an incarnation; `None` if it is not listed, or not any more.
     pub fn get(&self, id: &BackendId) -> Option<&BackendRecord> {
         self.entries.get(id)
     }
 
-    /// Back ends of a pool that take new work, in the order of their ids. This, and
-    /// [`can_accept_requests`](Self::can_accept_requests) right before a request is sent, are all that says who does.
+    /// Back ends of a pool that take new work, in the order of their ids. Eligibility for work is decided only here, and
+    /// by [`can_accept_requests`](Self::can_accept_requests) right before a request is sent.
     pub fn ready_in<'a>(
         &'a self,
         pool: &'a PoolName,
@@ -140,7 +145,7 @@
             .filter(|(_, record)| !self.is_evacuated(&record.zone))
     }
 
-    /// Back ends of a pool that do not leave, also those of evacuated zones.
+    /// Back ends of a pool that are not draining, including those of evacuated zones.
     pub fn serving_in<'a>(
         &'a self,
         pool: &'a PoolName,
@@ -150,7 +155,8 @@
             .filter(move |(_, record)| record.pool == *pool && !record.draining)
     }
 
-    /// Whether a back end may be sent a request that was meant for it a moment ago.
+    /// Whether a request that was just assigned to a back end may still be sent to it: the back end is listed, and its
+    /// zone is not evacuated.
     pub fn can_accept_requests(&self, id: &BackendId) -> bool {
         self.get(id)
             .is_some_and(|record| !self.is_evacuated(&record.zone))
@@ -160,7 +166,7 @@
         self.evacuated.contains(zone)
     }
 
-    /// Begins or ends the evacuation of a zone; answers whether that is new.
+    /// Starts or ends the evacuation of a zone, and returns whether that changed its state.
     pub fn set_evacuated(&mut self, zone: &ZoneName, is_evacuated: bool) -> bool {
         if is_evacuated {
             self.evacuated.insert(zone.clone())
@@ -169,22 +175,22 @@
         }
     }
 
-    /// Zones that are evacuated.
+    /// Zones under evacuation, whose back ends get no new work.
     pub fn evacuated(&self) -> &BTreeSet<ZoneName> {
         &self.evacuated
     }
 
-    /// The newest life of a back end.
+    /// The entry of the newest incarnation of a back end.
     pub fn by_name(&self, name: &BackendName) -> Option<&BackendRecord> {
-        self.get(self.lives.get(name)?)
+        self.get(self.incarnations.get(name)?)
     }
 
-    /// The newest life of every back end, in the order of their names.
+    /// The entry of the newest incarnation of every back end, in the order of their names.
     pub fn all(&self) -> impl Iterator<Item = (&str, &BackendRecord)> {
         self.entries.iter().map(|(id, record)| (id.name(), record))
     }
 
-    /// Back ends in a zone.
+    /// Back ends that run in a zone, in the order of their ids.
     pub fn in_zone<'a>(
         &'a self,
         zone: &'a ZoneName,
@@ -194,18 +200,19 @@
             .filter(|(_, record)| record.zone == zone.as_str())
     }
 
-    /// Whether another back end is listed at an address: the next life of the one that was there.
+    /// Whether a back end other than `former` is listed at an address: the incarnation that follows the one that used
+    /// it before.
     pub fn is_address_reused(&self, address: SocketAddr, former: &BackendId) -> bool {
         let mut entries = self.entries.iter();
         entries.any(|(id, record)| record.address == address && id != former)
     }
 
-    /// How many entries there are.
+    /// Number of listed back ends.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether none is known.
+    /// Whether no back end is listed.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/crates/rollout/src/backend_digest.rs
+++ b/crates/rollout/src/backend_digest.rs
@@ -1,13 +1,13 @@
-//! A digest of the directory of back ends, for fleets whose nodes cannot all read the directory itself.
+//! A digest of the directory of back ends, for fleets that are too large for every node to read the directory itself.
 //!
-//! The load that this answers: 1,000 nodes and 10,000 back ends, whose entries are some 4 MB. Read by every node they
-//! are 4 GB, and a log that gives 80 MB a second takes 50 s for that, at each start of the fleet and each time that
-//! many back ends change. So one node, the holder of the lease for orders, reads the directory and writes down what
-//! the others need: the entries of as many back ends as the work takes, in a tenth of the bytes. The digest grows with
-//! the work and not with the directory.
+//! The entries of 10,000 back ends take about 4 MB. Read by each of 1,000 nodes that is 4 GB, and a log that serves
+//! 80 MB per second needs 50 s for it, at each start of the fleet and each time that many back ends change. So a single
+//! node, the holder of the order lease (which tells back ends which model versions to load), reads the directory and
+//! writes to the log what the others need: the entries of as many back ends as the workload uses, in a tenth of the
+//! bytes. The size of the digest grows with the workload and not with the directory.
 //!
-//! Nodes of several versions of the program read it while a release goes on: new kinds of records stand behind the
-//! others, and one that cannot be read is passed over.
+//! During a rolling upgrade, nodes of several versions of the program read the digest. Therefore new kinds of records
+//! are added after the existing ones, and readers skip records that they cannot decode.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,7 +20,7 @@
 use crate::lease::Term;
 use crate::stored::Stored;
 
-/// An entry of a back end, as the digest has it.
+/// The entry of a back end in the encoding of the digest.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DigestEntry {
     pool: PoolName,
@@ -66,12 +66,12 @@
     }
 }
 
-/// A change of the digest.
+/// A change of one entry of the digest.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DigestChange {
-    /// Whose entry it is.
+    /// Name of the back end.
     pub name: BackendName,
-    /// Its entry; `None` once it is not in the digest any more.
+    /// The new entry; `None` if the back end was removed from the digest.
     pub entry: Option<DigestEntry>,
 }
 
@@ -84,24 +84,24 @@
     }
 }
 
-/// A record of the stream that holds the digest.
+/// A record of the log stream that holds the digest.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DigestRecord {
-    /// The holder of a term keeps the digest up to date, and nothing has changed since its last record.
+    /// Heartbeat of the lease holder: it keeps the digest up to date, and nothing has changed since its last record.
     Kept {
-        /// The holder's term: records of earlier ones do not count any more.
+        /// Fencing token of the holder's lease; records with a lower term are ignored from here on.
         term: Term,
     },
-    /// Entries changed.
+    /// Changes of entries, written by the lease holder.
     Changed {
-        /// The holder's term.
+        /// Fencing token of the holder's lease.
         term: Term,
-        /// What changed.
+        /// The changes, in the order in which readers apply them.
         changes: Vec<DigestChange>,
     },
-    /// Some node found all back ends of a pool taken that the digest names.
+    /// Request of some node for more entries of a pool: all back ends of the pool in the digest were busy.
     MoreWanted {
-        /// The pool.
+        /// Pool that needs more back ends in the digest.
         pool: PoolName,
     },
 }
@@ -110,14 +110,14 @@
     const DESCRIPTION: &'static str = "a record of the digest of back ends";
 }
 
-/// The digest up to an offset of its stream.
+/// A checkpoint of the digest, up to an offset of its stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DigestCheckpoint {
-    /// Offset of the first record that is not in it.
+    /// Offset of the first record that the checkpoint doesn't include.
     pub next: u64,
-    /// The newest term.
+    /// Highest lease term that was read.
     pub term: Term,
-    /// All entries.
+    /// All entries of the digest, as additions to an empty one.
     pub entries: Vec<DigestChange>,
 }
 
@@ -125,33 +125,33 @@
     const DESCRIPTION: &'static str = "a checkpoint of the digest of back ends";
 }
 
-/// The digest as far as it was read.
+/// The state of the digest after the records that this node has read.
 #[derive(Debug, Default)]
 pub struct DigestState {
     term: Term,
     entries: BTreeMap<BackendName, DigestEntry>,
-    /// Changes that were not taken yet.
+    /// Changes since the last call of [`Self::take_changes`] or [`Self::all`].
     changes: Vec<DigestChange>,
-    /// Pools of which more is wanted, and how often that was said.
+    /// Number of [`DigestRecord::MoreWanted`] records for each pool.
     wanted: BTreeMap<PoolName, u64>,
-    /// When a holder's record was last read.
+    /// When a record of the lease holder was last read.
     last_holder_record_at: Option<Millis>,
 }
 
 impl DigestState {
-    /// The digest that a checkpoint tells of.
+    /// Restores the state from a checkpoint.
     pub fn restored(checkpoint: DigestCheckpoint) -> Self {
         let mut state = Self {
             term: checkpoint.term,
             ..Self::default()
         };
         for change in checkpoint.entries {
-            state.take_change(change);
+            state.apply_change(change);
         }
         state
     }
 
-    /// The digest up to `next`.
+    /// Creates a checkpoint; `next` is the offset of the first record that was not applied.
     pub fn checkpoint(&self, next: u64) -> DigestCheckpoint {
         let entries = self.entries.iter();
         DigestCheckpoint {
@@ -166,14 +166,15 @@
         }
     }
 
-    /// Takes the next record. One of a term that is over says what was true then.
+    /// Applies the next record, read at `now`. Records of a term that is over are ignored: they hold the outdated view of
+    /// a former lease holder.
     pub fn apply(&mut self, record: DigestRecord, now: Millis) {
         match record {
-            DigestRecord::Kept { term } => self.note_term(term, now),
+            DigestRecord::Kept { term } => self.observe_term(term, now),
             DigestRecord::Changed { term, changes } if term >= self.term => {
-                self.note_term(term, now);
+                self.observe_term(term, now);
                 for change in changes {
-                    self.take_change(change);
+                    self.apply_change(change);
                 }
             }
             DigestRecord::Changed { .. } => {}
@@ -181,14 +182,14 @@
         }
     }
 
-    fn note_term(&mut self, term: Term, now: Millis) {
+    fn observe_term(&mut self, term: Term, now: Millis) {
         if term >= self.term {
             self.term = term;
             self.last_holder_record_at = Some(now);
         }
     }
 
-    fn take_change(&mut self, change: DigestChange) {
+    fn apply_change(&mut self, change: DigestChange) {
         match &change.entry {
             Some(entry) => {
                 self.entries.insert(change.name.clone(), entry.clone());
@@ -200,17 +201,18 @@
         self.changes.push(change);
     }
 
-    /// When a holder's record was last read.
+    /// When a record of the current lease holder was last read; `None` if none was read since the start or restore.
     pub fn last_holder_record_at(&self) -> Option<Millis> {
         self.last_holder_record_at
     }
 
-    /// How often more back ends of each pool were wanted.
+    /// For each pool, how many requests for more back ends were read ([`DigestRecord::MoreWanted`]).
     pub fn wanted(&self) -> &BTreeMap<PoolName, u64> {
         &self.wanted
     }
 
-    /// All entries, as records of back ends; changes so far are in them.
+    /// All entries as back end records. They include the pending changes, which [`Self::take_changes`] then doesn't
+    /// return any more.
     pub fn all(&mut self) -> BTreeMap<BackendName, BackendRecord> {
         self.changes.clear();
         let entries = self.entries.iter();
@@ -219,25 +221,25 @@
             .collect()
     }
 
-    /// Changes since the last call.
+    /// Takes the changes since the last call of this or of [`Self::all`].
     pub fn take_changes(&mut self) -> Vec<BackendChange> {
         let changes = std::mem::take(&mut self.changes);
         changes.into_iter().map(BackendChange::from).collect()
     }
 
-    /// How many entries there are.
+    /// Number of entries in the digest.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there is none.
+    /// Whether the digest has no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 }
 
-/// Changes that bring a digest up to date with the directory: entries that changed or are gone, and new ones in the
-/// order of their names until each pool has as many that take work as `wanted` says.
+/// Computes the changes that bring a digest up to date with the directory: entries that changed or were removed, and
+/// additional ones, in the order of their names, until each pool has `wanted(pool)` back ends that are not draining.
 pub fn compute_changes(
     digest: &DigestState,
     directory: &BackendList,
--- a/crates/rollout/src/event_stream.rs
+++ b/crates/rollout/src/event_stream.rs
@@ -1,23 +1,23 @@
-//! Reads a back end's stream of events piece by piece.
+//! Incremental parser for the server-sent events (`text/event-stream`) of a back end.
 
 use bytes::{Bytes, BytesMut};
 
 use crate::ids::Version;
 
-/// One event as it came.
+/// One complete event.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StreamEvent {
-    /// Its id, if it carried one that is a number.
+    /// Value of its `id` line; `None` if it has none or the value is not a number.
     pub id: Option<u64>,
-    /// Version that it names, if the version changes with it.
+    /// Model version from which the stream continues; `None` if the event doesn't change it.
     pub version: Option<Version>,
-    /// Its data; several data lines are joined by line feeds.
+    /// Value of its `data` lines, joined by line feeds.
     pub data: Bytes,
-    /// All its bytes as they came, with the empty line that ends it.
+    /// The bytes of the event as received, including the empty line that ends it.
     pub raw: Bytes,
 }
 
-/// Splits bytes into events. Bytes of an event that is not whole yet stay here.
+/// Splits a stream of bytes into events, and buffers the bytes of an incomplete event.
 #[derive(Debug)]
 pub struct EventReader {
     buffer: BytesMut,
@@ -25,7 +25,7 @@
 }
 
 impl EventReader {
-    /// A reader; `version_field` is the name of the line that tells a change of version.
+    /// Creates a reader; `version_field` names the line of an event that carries a new model version.
     pub fn new(version_field: &str) -> Self {
         Self {
             buffer: BytesMut::new(),
@@ -33,35 +33,36 @@
         }
     }
 
-    /// Takes more bytes.
+    /// Appends received bytes to the buffer.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Bytes that are not part of a whole event yet.
+    /// Buffered bytes that [`Self::next_event`] has not returned, of an incomplete event.
     pub fn remaining(&self) -> &[u8] {
         &self.buffer
     }
 
-    /// The next whole event.
+    /// Removes and returns the next complete event; `None` if more bytes are needed. Events without data, for instance
+    /// comments, are skipped.
     pub fn next_event(&mut self) -> Option<StreamEvent> {
         loop {
-            let end = event_end(&self.buffer)?;
+            let end = find_event_end(&self.buffer)?;
             let raw = self.buffer.split_to(end.start + end.length).freeze();
-            if let Some(event) = self.read_event(&raw) {
+            if let Some(event) = self.parse_event(&raw) {
                 return Some(event);
             }
         }
     }
 
-    fn read_event(&self, raw: &Bytes) -> Option<StreamEvent> {
+    fn parse_event(&self, raw: &Bytes) -> Option<StreamEvent> {
         let mut event = StreamEvent {
             id: None,
             version: None,
             data: Bytes::new(),
             raw: raw.clone(),
         };
-        let mut any = false;
+        let mut has_data = false;
         for line in raw.split(|byte| *byte == b'\n') {
             let line = line.strip_suffix(b"\r").unwrap_or(line);
             let Some(colon) = line.iter().position(|byte| *byte == b':') else {
@@ -72,21 +73,21 @@
                 .strip_prefix(b" ")
                 .unwrap_or(&line[colon + 1..]);
             if name == b"data" {
-                event.data = joined(&event.data, any, raw, value);
-                any = true;
+                event.data = append_line(&event.data, has_data, raw, value);
+                has_data = true;
             } else if name == b"id" {
-                event.id = number(value);
+                event.id = parse_number(value);
             } else if name.eq_ignore_ascii_case(self.version_field.as_bytes()) {
-                event.version = number(value);
+                event.version = parse_number(value);
             }
         }
-        any.then_some(event)
+        has_data.then_some(event)
     }
 }
 
-/// Appends a data line; the first one is a view into the event's bytes.
-fn joined(before: &Bytes, any: bool, raw: &Bytes, line: &[u8]) -> Bytes {
-    if !any {
+/// Appends a data line to the data so far. The first line is returned as a view into `raw`, without copying.
+fn append_line(before: &Bytes, has_data: bool, raw: &Bytes, line: &[u8]) -> Bytes {
+    if !has_data {
         return raw.slice_ref(line);
     }
     let mut data = BytesMut::from(&before[..]);
@@ -95,16 +96,17 @@
     data.freeze()
 }
 
-fn number(value: &[u8]) -> Option<u64> {
+fn parse_number(value: &[u8]) -> Option<u64> {
     std::str::from_utf8(value).ok()?.trim().parse().ok()
 }
 
+/// The two line ends that terminate an event.
 struct EventEnd {
     start: usize,
     length: usize,
 }
 
-fn event_end(buffer: &[u8]) -> Option<EventEnd> {
+fn find_event_end(buffer: &[u8]) -> Option<EventEnd> {
     let mut index = 0;
     while let Some(at) = buffer[index..].iter().position(|byte| *byte == b'\n') {
         let newline = index + at;
--- a/crates/rollout/src/health.rs
+++ b/crates/rollout/src/health.rs
@@ -1,66 +1,67 @@
-//! What a node has seen of each back end itself: failures, and how fast it answers.
+//! Failures and response times of each back end, as observed by this node's own requests.
 
 use std::collections::BTreeMap;
 
 use crate::Millis;
 use crate::ids::BackendId;
 
-/// First time that a back end is avoided after a failure; doubles with each further one.
-const FIRST_AVOIDANCE_MS: Millis = 250;
-/// Longest time that a back end is avoided.
-const LONGEST_AVOIDANCE_MS: Millis = 2_000;
-/// Weight of the newest measurement in a running mean.
-const NEWEST_WEIGHT: f64 = 0.2;
+/// Backoff after the first failure of a back end; doubles with each further failure in a row.
+const INITIAL_BACKOFF_MS: Millis = 250;
+/// Maximum backoff after failures of a back end.
+const MAX_BACKOFF_MS: Millis = 2_000;
+/// Weight of the newest response time in the exponentially weighted moving average.
+const NEWEST_SAMPLE_WEIGHT: f64 = 0.2;
 
 #[derive(Debug, Clone, Default)]
-struct Seen {
+struct Observations {
     failures: u32,
-    avoid_until: Millis,
+    backoff_until: Millis,
     mean_ms: Option<f64>,
 }
 
-/// Health of all back ends, as one node has seen it.
+/// Failures and mean response times of all back ends, as observed by one node.
 #[derive(Debug, Default)]
 pub struct BackendHealth {
-    seen: BTreeMap<BackendId, Seen>,
+    observations: BTreeMap<BackendId, Observations>,
 }
 
 impl BackendHealth {
-    /// A request failed there, or it could not be reached.
+    /// Records that a request failed at a back end, or that the back end could not be reached.
     pub fn record_failure(&mut self, backend: &BackendId, now: Millis) {
-        let seen = self.seen.entry(backend.clone()).or_default();
-        let doublings = seen.failures.min(8);
-        let avoidance = (FIRST_AVOIDANCE_MS << doublings).min(LONGEST_AVOIDANCE_MS);
-        seen.failures += 1;
-        seen.avoid_until = now + avoidance;
+        let observations = self.observations.entry(backend.clone()).or_default();
+        let doublings = observations.failures.min(8);
+        let backoff = (INITIAL_BACKOFF_MS << doublings).min(MAX_BACKOFF_MS);
+        observations.failures += 1;
+        observations.backoff_until = now + backoff;
     }
 
-    /// It answered, after so long; `None` where the time says nothing.
+    /// Records that a back end answered, which ends its backoff. `took_ms` is the response time in milliseconds, `None`
+    /// where it is not representative.
     pub fn record_answer(&mut self, backend: &BackendId, took_ms: Option<Millis>) {
-        let seen = self.seen.entry(backend.clone()).or_default();
-        seen.failures = 0;
-        seen.avoid_until = 0;
+        let observations = self.observations.entry(backend.clone()).or_default();
+        observations.failures = 0;
+        observations.backoff_until = 0;
         if let Some(took_ms) = took_ms {
             let took = took_ms as f64;
-            let mean = seen.mean_ms.unwrap_or(took);
-            seen.mean_ms = Some(mean + NEWEST_WEIGHT * (took - mean));
+            let mean = observations.mean_ms.unwrap_or(took);
+            observations.mean_ms = Some(mean + NEWEST_SAMPLE_WEIGHT * (took - mean));
         }
     }
 
-    /// Whether it is avoided while others can be had.
+    /// Whether a back end is in backoff, so that other back ends are preferred.
     pub fn is_avoided(&self, backend: &BackendId, now: Millis) -> bool {
-        self.seen
+        self.observations
             .get(backend)
-            .is_some_and(|seen| seen.avoid_until > now)
+            .is_some_and(|observations| observations.backoff_until > now)
     }
 
-    /// Mean time of its answers.
+    /// Moving average of a back end's response times in milliseconds; `None` if there is none yet.
     pub fn mean_ms(&self, backend: &BackendId) -> Option<f64> {
-        self.seen.get(backend)?.mean_ms
+        self.observations.get(backend)?.mean_ms
     }
 
-    /// Forgets back ends that `keep` does not name.
+    /// Removes the back ends for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(&BackendId) -> bool) {
-        self.seen.retain(|backend, _| keep(backend));
+        self.observations.retain(|backend, _| keep(backend));
     }
 }
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -1,6 +1,7 @@
-//! Decisions of the rollout service on a shared log, as state machines without I/O: which route a
-//! call takes, what a partition of batches holds, which back end runs which item, and which back
-//! end loads which version next. Time is passed in as milliseconds on a steady clock.
+//! Decision logic of the rollout service, whose nodes coordinate through a shared log. The modules
+//! are state machines without I/O: they decide which route a call takes, what a partition of
+//! batches holds, which back end runs which item, and which back end loads which model version
+//! next. Callers pass in the current time as milliseconds on a monotonic clock.
 
 pub mod access;
 pub mod back_end_speed;
@@ -43,5 +44,5 @@
 pub mod stored;
 pub mod usage;
 
-/// Milliseconds on the process's steady clock.
+/// Time in milliseconds on the process's monotonic clock; also used for durations.
 pub type Millis = u64;
--- a/crates/rollout/src/peer_message.rs
+++ b/crates/rollout/src/peer_message.rs
@@ -1,4 +1,4 @@
-//! What nodes ask each other about batches, and what they answer.
+//! Requests about batches that nodes send each other, and the answers to them.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -6,75 +6,76 @@
 use crate::ids::{BatchId, ItemId, NodeId, TenantName, ZoneName};
 use crate::stored::Stored;
 
-/// A question to the node that runs a batch, on behalf of a caller that the asking node has admitted.
+/// A request to the node that runs a batch, sent on behalf of a caller that the sender has admitted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerRequest {
-    /// The node that is meant: another life of its machine may listen at the address.
+    /// The receiver that is meant. It is checked, as another incarnation on its machine (a restarted process) may listen
+    /// at the address.
     pub to: NodeId,
-    /// Zone of the node that asks: data may be bound to regions.
+    /// Zone of the sender, as data may have to stay in certain regions.
     pub zone: ZoneName,
-    /// Every tenant for which the caller acts; empty for one without a key.
+    /// Every tenant as which the caller may act; empty for a caller without an API key.
     pub tenants: Vec<TenantName>,
-    /// The batch.
+    /// Batch that the question is about.
     pub batch: BatchId,
-    /// What is asked.
+    /// What the sender wants to know or have done.
     pub question: PeerQuestion,
 }
 
-/// What is asked about a batch.
+/// A question or an instruction about a batch.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerQuestion {
-    /// Results from a position on.
+    /// Read the results from a position on.
     Results {
         /// Position of the first result wanted.
         from: u64,
-        /// Milliseconds to wait for one.
+        /// Milliseconds to wait for a result if there is none yet.
         wait_ms: u64,
     },
-    /// The body of an item that is not listed yet.
+    /// Read the body of an item as it was submitted.
     ItemBody {
-        /// The item.
+        /// Id of the item.
         item: ItemId,
     },
-    /// End the batch.
+    /// End the batch, so that no more of its items run.
     End,
 }
 
-/// What comes of a question.
+/// The answer to a [`PeerRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerAnswer {
     /// The answer for the caller, with status 200.
     Answered {
-        /// Its body.
+        /// Body of the response.
         body: Bytes,
-        /// Whether the body is in the gateway's own format, not the caller's bytes.
+        /// Whether the body is in the gateway's own format; otherwise it holds bytes that a caller submitted.
         is_own_format: bool,
     },
-    /// The batch's end was not acknowledged, and may be done all the same.
+    /// The log didn't acknowledge the end of the batch, which may have been written nevertheless.
     MayBeDone,
-    /// Nothing was done, and nothing is told.
+    /// The node did nothing, and gives no information on the batch.
     Declined(PeerRefusal),
 }
 
-/// Why a node answers nothing.
+/// Why a node declines a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerRefusal {
-    /// The question cannot be read here.
+    /// The request cannot be decoded, or holds a value out of range.
     Unreadable,
-    /// Another life of this machine is meant.
+    /// The request is meant for another incarnation of the node on this machine.
     OtherLife,
-    /// This node does not run the batch, or does not know such a batch of the caller.
+    /// This node doesn't run the batch, or knows no such batch that the caller can see.
     NotHere,
-    /// The data may not leave its regions.
+    /// The data must not leave its regions, and the sender is outside of them.
     Region,
-    /// More questions are being answered than this node takes.
+    /// The number of requests in progress has reached this node's limit.
     Overloaded,
-    /// The log does not confirm what is known here.
+    /// The node could not confirm its state with the log, or the log didn't acknowledge a write.
     NotConfirmed,
 }
 
 impl PeerRefusal {
-    /// Its name in logs and metrics.
+    /// Label of the refusal in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Unreadable => "unreadable",
--- a/crates/rollout/src/residency.rs
+++ b/crates/rollout/src/residency.rs
@@ -1,14 +1,14 @@
-//! In which regions a request may be served and its data kept (data residency).
+//! Data residency: the regions in which a request may be served and its data stored.
 //!
-//! Operators restrict routes and tenants; where both are restricted, both bind. Every choice of a back end for a
-//! request, and of a node that runs a batch, asks a [`Residency`].
+//! Operators restrict routes and tenants; where both are restricted, a region must be allowed by both. Each choice of
+//! a back end for a request, and of a node that runs a batch, checks a [`Residency`].
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 use crate::ids::{RegionName, ZoneName};
 
-/// The regions that are allowed; all of them unless something restricts it.
+/// The set of allowed regions; every region if nothing restricts it.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Residency {
     /// `None` allows every region.
@@ -16,12 +16,12 @@
 }
 
 impl Residency {
-    /// No restriction.
+    /// Allows every region.
     pub fn anywhere() -> Self {
         Self::default()
     }
 
-    /// Restricted to these regions; an empty list restricts nothing.
+    /// Allows only these regions; an empty list allows every region.
     pub fn of(regions: impl IntoIterator<Item = RegionName>) -> Self {
         let regions: BTreeSet<RegionName> = regions.into_iter().collect();
         Self {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Restricted by both. What is left may be no region at all.
+    /// The intersection of both restrictions, which may leave no region at all.
     pub fn and(&self, other: &Self) -> Self {
         match (&self.allowed, &other.allowed) {
             (None, _) => other.clone(),
@@ -40,12 +40,12 @@
         }
     }
 
-    /// Whether some region is not allowed.
+    /// Whether the regions are restricted, so that some region is not allowed.
     pub fn is_restricted(&self) -> bool {
         self.allowed.is_some()
     }
 
-    /// Whether a region is allowed. One that is not known is allowed only where nothing is restricted.
+    /// Whether a region is allowed. An unknown region (`None`) is allowed only if there is no restriction.
     pub fn allows(&self, region: Option<&RegionName>) -> bool {
         match &self.allowed {
             None => true,
@@ -54,12 +54,12 @@
     }
 }
 
-/// The region of each zone.
+/// Maps each configured zone to its region.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RegionMap(BTreeMap<ZoneName, RegionName>);
 
 impl RegionMap {
-    /// The region of a zone, if it is known.
+    /// The region of a zone; `None` if the zone is not configured.
     pub fn region_of(&self, zone: &str) -> Option<&RegionName> {
         self.0.get(zone)
     }
--- a/crates/rollout/src/route.rs
+++ b/crates/rollout/src/route.rs
@@ -1,4 +1,5 @@
-//! Routes: which pool serves a host and path, and within which limits.
+//! Routing table: maps the host and path of a request to a route, and a route to the pools that serve it, with
+//! its timeouts, priority and limits.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -9,24 +10,24 @@
 use crate::sizing::PoolScaling;
 use crate::slow_start::ColdLimit;
 
-/// How a request on a route may be treated.
+/// How the requests of a route may be executed and retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestKind {
-    /// May run more than once.
+    /// May run more than once, so it is retried at another back end after a failure.
     Repeatable,
-    /// Runs at most once for each attempt of a caller.
+    /// Runs at most once for each attempt of a caller: it is not retried once it may have run.
     AtMostOnce,
-    /// A stream of events; `resumable` ones may go on at another back end.
+    /// Answered with a stream of events.
     Stream {
-        /// Whether another back end may go on where one stopped.
+        /// Whether another back end may continue a stream where the first one stopped.
         resumable: bool,
     },
-    /// Items handed in together and read later.
+    /// Items that are submitted together and whose results are read later.
     Batch,
 }
 
 impl RequestKind {
-    /// Whether a request may run again after it may have run.
+    /// Whether a request may be sent again after an attempt that may have run.
     pub fn can_repeat(self) -> bool {
         matches!(
             self,
@@ -35,61 +36,61 @@
     }
 }
 
-/// A pool's share of a route.
+/// A pool that serves a route, with its share of the requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WeightedPool {
-    /// The pool.
+    /// Name of the pool.
     pub pool: PoolName,
-    /// Its share, relative to the other weights.
+    /// Share of the requests, relative to the weights of the route's other pools; 0 gets none.
     pub weight: u32,
 }
 
 /// One route of the configuration.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
-    /// Its name.
+    /// Name of the route in the configuration.
     pub name: String,
-    /// Host that callers name.
+    /// Host that requests must name; matched without regard to case or port.
     pub host: String,
-    /// Beginning of the path; starts and ends with a slash.
+    /// Prefix that the path of a request must have; starts and ends with a slash.
     pub path_prefix: String,
-    /// How requests may be treated.
+    /// How requests may be executed and retried.
     pub kind: RequestKind,
-    /// Longest time a request is held.
+    /// Maximum time that the gateway holds a request before it answers.
     pub timeout_ms: u64,
-    /// Time within which an answer is on time.
+    /// Latency objective: time within which an answer counts as on time.
     pub objective_ms: u64,
-    /// Most back ends that one request may run on.
+    /// Maximum number of back ends that one request may run on.
     pub attempts: u32,
-    /// 0 is the most urgent.
+    /// Rank of the requests, where 0 is the most urgent; a tenant's own rank overrides it.
     pub priority: u32,
-    /// Pools that serve it.
+    /// Pools that serve the route, with their weights.
     pub pools: Vec<WeightedPool>,
-    /// Time within which a batch is to be done.
+    /// Time within which a batch should be complete; `None` where a batch has no deadline.
     pub due_ms: Option<u64>,
-    /// Time after which an item of a batch may be given up.
+    /// Time after which an item of a batch may be given up; `None` uses the default of the gateway.
     pub give_up_after_ms: Option<u64>,
-    /// Whether every event of a result must come from the same version.
+    /// Whether all events of a result must come from the same model version.
     pub single_version: bool,
-    /// Whether callers need no key.
+    /// Whether callers without an API key are admitted.
     pub is_public: bool,
-    /// Where its requests may be served and their data kept.
+    /// Regions in which requests may be served and their data stored.
     pub residency: Residency,
 }
 
 impl Route {
-    /// The pool for a request: its hash decides, in proportion to the weights.
+    /// Chooses the pool for a request by its hash, in proportion to the weights; `None` if all weights are 0.
     pub fn pool_for(&self, request_hash: u64) -> Option<&PoolName> {
         let total: u64 = self.pools.iter().map(|pool| u64::from(pool.weight)).sum();
         if total == 0 {
             return None;
         }
-        let mut ticket = request_hash % total;
+        let mut remaining = request_hash % total;
         for pool in &self.pools {
-            if ticket < u64::from(pool.weight) {
+            if remaining < u64::from(pool.weight) {
                 return Some(&pool.pool);
             }
-            ticket -= u64::from(pool.weight);
+            remaining -= u64::from(pool.weight);
         }
         None
     }
@@ -98,32 +99,32 @@
 /// A pool of back ends.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Pool {
-    /// Its name.
+    /// Name by which routes and back ends refer to the pool.
     pub name: PoolName,
-    /// Most connections that one back end accepts from all callers.
+    /// Maximum number of connections that one back end accepts from all callers together.
     pub connections: u32,
-    /// Models whose versions the system rolls out here; empty for plain applications.
+    /// Models whose versions the system rolls out to the pool; empty for back ends that serve no models.
     pub models: Vec<ModelName>,
-    /// Tokens that one event of a stream holds.
+    /// Number of tokens in one event of a stream.
     pub tokens_per_event: u32,
-    /// Tokens that the memory of one back end takes; `None` where it is not told.
+    /// Tokens that fit into the memory of one back end; `None` where the configuration doesn't say.
     pub memory_tokens: Option<u32>,
-    /// What may be ordered of it; `None` where its size is the operator's.
+    /// Bounds for automatic scaling; `None` where operators set the size of the pool.
     pub scaling: Option<PoolScaling>,
-    /// What its back ends bear while they are cold; `None` where they start warm.
+    /// Request rate limit of a back end that has just started; `None` where back ends start warm.
     pub cold_limit: Option<ColdLimit>,
 }
 
-/// Bounds on what callers send.
+/// Limits on requests and connections of callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Most bytes of a head.
+    /// Maximum size of a request head in bytes.
     pub head_bytes: usize,
-    /// Most bytes of a body.
+    /// Maximum size of a request body in bytes.
     pub body_bytes: usize,
-    /// Longest time for a head.
+    /// Timeout for receiving a whole request head.
     pub head_timeout_ms: u64,
-    /// Longest time a connection rests between requests.
+    /// Maximum time that a connection may be idle between requests.
     pub idle_timeout_ms: u64,
 }
 
@@ -138,22 +139,22 @@
     }
 }
 
-/// A whole configuration of routes.
+/// The routing part of the configuration, as operators wrote it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RoutingConfig {
-    /// Rises with each change.
+    /// Version of the configuration; increases with each change.
     pub version: u64,
-    /// All routes.
+    /// Routes of all hosts, in any order.
     pub routes: Vec<Route>,
-    /// All pools.
+    /// Pools that the routes refer to by name.
     pub pools: Vec<Pool>,
-    /// Bounds on what callers send.
+    /// Limits on requests and connections of callers.
     pub limits: CallerLimits,
-    /// Tenants; without any, callers need no keys.
+    /// Tenants; if there are none, callers need no API keys.
     pub tenants: Vec<Tenant>,
 }
 
-/// A configuration prepared for look-ups.
+/// An index of a [`RoutingConfig`] for look-ups by host, path, pool and API key.
 #[derive(Debug)]
 pub struct RouteTable {
     version: u64,
@@ -164,12 +165,12 @@
 }
 
 impl RouteTable {
-    /// Prepares a configuration.
+    /// Builds the table of the first configuration that a node reads.
     pub fn new(config: RoutingConfig) -> Self {
         Self::replacing(config, None)
     }
 
-    /// Prepares a configuration that takes the place of `previous`.
+    /// Builds the table of a configuration that replaces `previous`, and keeps which tenants held an API key before.
     pub fn replacing(config: RoutingConfig, previous: Option<&Self>) -> Self {
         let access =
             AccessTable::replacing(&config.tenants, previous.map(|previous| &previous.access));
@@ -195,44 +196,53 @@
         }
     }
 
-    /// Version of the configuration.
+    /// Version of the configuration that the table was built from.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Bounds on what callers send.
+    /// Limits on requests and connections of callers.
     pub fn limits(&self) -> CallerLimits {
         self.limits
     }
 
-    /// The route with the longest prefix that begins the path. A port in the host is ignored.
+    /// The route of the host whose path prefix is the longest match. A port in the host is ignored.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
-        self.routes_of(host)?
+        self.routes_for_host(host)?
             .iter()
             .find(|route| path.starts_with(&route.path_prefix))
     }
 
-    fn routes_of(&self, host: &str) -> Option<&[Arc<Route>]> {
+    fn routes_for_host(&self, host: &str) -> Option<&[Arc<Route>]> {
         let host = host.split(':').next().unwrap_or(host).to_ascii_lowercase();
         self.by_host.get(&host).map(Vec::as_slice)
     }
 
-    /// Who makes a request on a route, by the key that it presents.
+    /// Identifies the caller of a request on a route by the API key that the request presents.
+    ///
+    /// # Errors
+    ///
+    /// [`Denied`] if the key is unknown, or if the route requires a key and the request has none.
     pub fn admit(&self, route: &Route, key: Option<&str>) -> Result<Caller, Denied> {
         self.access.admit(key, route.is_public)
     }
 
-    /// Who makes a call on a batch that was handed in: its path names no route, so one that takes batches
-    /// from anybody at that host is enough.
+    /// Identifies the caller of a request about a submitted batch. The path of such a request names no route, so
+    /// callers without a key are admitted if any batch route of the host is public.
+    ///
+    /// # Errors
+    ///
+    /// [`Denied`] if the key is unknown, or if a key is required and the request has none.
     pub fn admit_to_batches(&self, host: &str, key: Option<&str>) -> Result<Caller, Denied> {
-        let routes = self.routes_of(host).unwrap_or_default();
+        let routes = self.routes_for_host(host).unwrap_or_default();
         let is_public = routes
             .iter()
             .any(|route| route.kind == RequestKind::Batch && route.is_public);
         self.access.admit(key, is_public)
     }
 
-    /// Where a request of a tenant on a route may be served and its data kept: both bind.
+    /// Regions in which a tenant's request on a route may be served and its data stored: those that both the route
+    /// and the tenant allow.
     pub fn residency(&self, route: &Route, tenant: Option<&TenantName>) -> Residency {
         match tenant {
             Some(tenant) => route.residency.and(&self.access.residency_of(tenant)),
@@ -240,15 +250,15 @@
         }
     }
 
-    /// Rank of a tenant's requests on a route, where 0 is the most urgent: the tenant's own takes
-    /// precedence over the route's.
+    /// Rank of a tenant's requests on a route, where 0 is the most urgent: the tenant's rank overrides the
+    /// route's.
     pub fn priority(&self, route: &Route, tenant: Option<&TenantName>) -> u32 {
         tenant
             .and_then(|tenant| self.access.priority_of(tenant))
             .unwrap_or(route.priority)
     }
 
-    /// What the back ends of each pool bear while they are cold.
+    /// Request rate limits of cold back ends, for the pools that have one.
     pub fn cold_limits(&self) -> HashMap<PoolName, ColdLimit> {
         let pools = self.pools.values();
         pools
@@ -256,23 +266,23 @@
             .collect()
     }
 
-    /// A pool by name.
+    /// Looks up a pool by its name.
     pub fn pool(&self, name: &PoolName) -> Option<&Pool> {
         self.pools.get(name)
     }
 
-    /// Names of all pools.
+    /// Names of all pools, in no particular order.
     pub fn pool_names(&self) -> impl Iterator<Item = &PoolName> {
         self.pools.keys()
     }
 
-    /// All pools whose size is to be ordered.
+    /// Pools that are scaled automatically, with their bounds.
     pub fn scaled_pools(&self) -> impl Iterator<Item = (&Pool, &PoolScaling)> {
         let pools = self.pools.values();
         pools.filter_map(|pool| Some((pool, pool.scaling.as_ref()?)))
     }
 
-    /// All pools whose back ends take orders, in the order of their names.
+    /// Pools to whose back ends the system rolls out model versions, ordered by name.
     pub fn pools_with_models(&self) -> Vec<&Pool> {
         let mut pools: Vec<&Pool> = self
             .pools
@@ -283,7 +293,7 @@
         pools
     }
 
-    /// Whether a pool serves batches whose results must come from one version each.
+    /// Whether some route that the pool serves requires each result to come from a single model version.
     pub fn has_single_version_routes(&self, pool: &PoolName) -> bool {
         let mut routes = self.by_host.values().flatten();
         routes.any(|route| {
@@ -291,7 +301,7 @@
         })
     }
 
-    /// The route of a host and path, if it takes batches.
+    /// The route of a host and path, if it is a batch route.
     pub fn batch_route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         self.find(host, path)
             .filter(|route| route.kind == RequestKind::Batch)
--- a/crates/rollout/tests/backend_digest.rs
+++ b/crates/rollout/tests/backend_digest.rs
@@ -1,4 +1,4 @@
-//! The digest of the directory of back ends: what it holds, how it follows, and what it costs.
+//! Tests of the digest of the directory of back ends: its entries, its updates, and the bytes that nodes read for it.
 
 use havenstage_rollout::backend::{BackendChange, BackendList, BackendRecord};
 use havenstage_rollout::backend_digest::{
@@ -12,7 +12,7 @@
 const APPLICATIONS: usize = 2_222;
 const MODELS: usize = 8;
 const WANTED: usize = 64;
-/// Bytes a second that the users' store gives to all readers together.
+/// Read throughput of the log in bytes per second, for all readers together.
 const READ_BYTES_PER_S: usize = 80_000_000;
 
 fn record(pool: &str, at: usize) -> BackendRecord {
@@ -35,7 +35,7 @@
     }
 }
 
-/// Names are hexadecimal, in no order of pools.
+/// Hexadecimal names, so that the order of the names mixes the pools.
 fn name(at: usize) -> BackendName {
     let scattered = (at as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 24;
     BackendName::from(format!("i-{scattered:010x}"))
@@ -58,7 +58,7 @@
     list.apply(BackendChange { name, record });
 }
 
-/// Brings a digest up to date; answers the bytes that were written for it.
+/// Brings a digest up to date, and returns the number of bytes that were written for it.
 fn update(digest: &mut DigestState, directory: &BackendList, term: Term) -> usize {
     let changes = compute_changes(digest, directory, |_| WANTED);
     let record = DigestRecord::Changed { term, changes };
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn it_has_enough_of_each_pool_and_is_read_by_2_000_nodes_within_a_second() {
+fn a_digest_has_enough_of_each_pool_and_2_000_nodes_read_it_within_a_second() {
     let mut digest = DigestState::default();
     let bytes = update(&mut digest, &directory(), 1);
     for pool in ["tono-llm", "aviso-app"] {
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_change_of_many_back_ends_costs_what_those_of_the_digest_cost() {
+fn a_change_of_many_back_ends_costs_only_as_much_as_the_entries_in_the_digest() {
     let mut directory = directory();
     let mut digest = DigestState::default();
     update(&mut digest, &directory, 1);
@@ -95,7 +95,7 @@
     assert_eq!(
         ready_in(&mut digest, "tono-llm"),
         WANTED,
-        "others took their places"
+        "other back ends replaced the removed ones"
     );
     for at in 0..ENGINES / 5 {
         set(&mut directory, at, Some(record("tono-llm", at)));
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_back_end_that_leaves_is_told_at_once_and_replaced() {
+fn a_draining_back_end_is_reported_at_once_and_replaced() {
     let mut directory = directory();
     let mut digest = DigestState::default();
     update(&mut digest, &directory, 1);
@@ -126,7 +126,7 @@
     assert_eq!(
         changes.len(),
         2,
-        "it leaves, and another is there in its place"
+        "one back end is draining, and another replaces it"
     );
     let of_leaving = changes.iter().find(|change| change.name == leaving);
     assert!(of_leaving.unwrap().record.as_ref().unwrap().draining);
@@ -142,9 +142,10 @@
     );
 }
 
-/// A holder that stood still writes what was true before its successor began.
+/// A lease holder that was suspended may write an outdated view after its successor has started, so records of its
+/// term must be ignored.
 #[test]
-fn records_of_a_term_that_is_over_do_not_count() {
+fn records_of_a_former_term_are_ignored() {
     let (directory, empty) = (directory(), BackendList::default());
     let mut digest = DigestState::default();
     update(&mut digest, &directory, 3);
@@ -159,14 +160,14 @@
     assert_eq!(
         digest.last_holder_record_at(),
         Some(10),
-        "nor are they signs of life"
+        "records of a former term are no heartbeats"
     );
     update(&mut digest, &empty, 4);
     assert!(digest.is_empty());
 }
 
 #[test]
-fn a_checkpoint_holds_all_of_it() {
+fn a_checkpoint_restores_the_whole_digest() {
     let mut digest = DigestState::default();
     update(&mut digest, &directory(), 7);
     let bytes = digest.checkpoint(42).encode();
@@ -178,6 +179,6 @@
     assert_eq!(
         restored.last_holder_record_at(),
         None,
-        "its term is known too"
+        "the checkpoint holds the term"
     );
 }
--- a/crates/rollout/tests/event_stream.rs
+++ b/crates/rollout/tests/event_stream.rs
@@ -1,4 +1,4 @@
-//! Reading a stream of events piece by piece.
+//! Tests of the incremental parser for streams of events.
 
 use havenstage_rollout::event_stream::{EventReader, StreamEvent};
 use proptest::prelude::*;
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn whole_events_are_read_and_a_part_is_not() {
+fn complete_events_are_returned_and_an_incomplete_one_is_not() {
     let events = read(&[STREAM]);
     let texts: Vec<&[u8]> = events.iter().map(|event| &event.data[..]).collect();
     assert_eq!(texts, [&b"one"[..], b"two", b"three\nmore"]);
@@ -31,12 +31,14 @@
 
 proptest! {
     #[test]
-    fn cuts_do_not_matter(cuts in proptest::collection::btree_set(0..STREAM.len(), 0..12)) {
+    fn events_do_not_depend_on_how_the_bytes_are_split(
+        split_points in proptest::collection::btree_set(0..STREAM.len(), 0..12),
+    ) {
         let mut pieces = Vec::new();
         let mut from = 0;
-        for cut in cuts {
-            pieces.push(&STREAM[from..cut]);
-            from = cut;
+        for split_point in split_points {
+            pieces.push(&STREAM[from..split_point]);
+            from = split_point;
         }
         pieces.push(&STREAM[from..]);
         prop_assert_eq!(read(&pieces), read(&[STREAM]));
--- a/crates/rollout/tests/peer_question.rs
+++ b/crates/rollout/tests/peer_question.rs
@@ -1,10 +1,10 @@
-//! Where questions about batches go, and what is remembered of nodes that were asked.
+//! Tests of the choice where a question about a batch is answered, and of the backoff towards nodes that fail.
 
 use havenstage_rollout::peer_question::{
     OwnerFacts, PeerBackoff, QuestionFacts, QuestionRoute, choose_route,
 };
 
-fn lively() -> QuestionFacts {
+fn live_owner_facts() -> QuestionFacts {
     QuestionFacts {
         can_answer_locally: false,
         owner: Some(OwnerFacts {
@@ -21,52 +21,61 @@
         silent_ms,
         is_paused,
     });
-    QuestionFacts { owner, ..lively() }
+    QuestionFacts {
+        owner,
+        ..live_owner_facts()
+    }
 }
 
 #[test]
-fn the_owner_is_asked_about_what_is_not_followed_here() {
-    assert_eq!(choose_route(&lively()), QuestionRoute::Owner);
-    let followed = QuestionFacts {
+fn the_owner_is_asked_unless_this_node_can_answer_locally() {
+    assert_eq!(choose_route(&live_owner_facts()), QuestionRoute::Owner);
+    let answerable_here = QuestionFacts {
         can_answer_locally: true,
-        ..lively()
+        ..live_owner_facts()
     };
-    assert_eq!(choose_route(&followed), QuestionRoute::LocalCopy);
+    assert_eq!(choose_route(&answerable_here), QuestionRoute::LocalCopy);
 }
 
 #[test]
-fn the_log_is_asked_where_no_owner_can_be() {
+fn the_log_is_read_if_the_owner_is_unknown_or_in_backoff() {
     let unknown = QuestionFacts {
         owner: None,
-        ..lively()
+        ..live_owner_facts()
     };
     assert_eq!(choose_route(&unknown), QuestionRoute::Log);
     assert_eq!(choose_route(&with_owner(200, true)), QuestionRoute::Log);
 }
 
 #[test]
-fn a_silent_owner_is_not_asked_unless_the_silence_is_this_nodes_own() {
+fn a_silent_owner_is_asked_only_if_this_node_reads_heartbeats_late() {
     let silent = with_owner(1_500, false);
     assert_eq!(choose_route(&silent), QuestionRoute::Log);
-    let reads_seldom = QuestionFacts {
+    let with_long_read_interval = QuestionFacts {
         read_interval_ms: 2_000,
         ..silent
     };
-    assert_eq!(choose_route(&reads_seldom), QuestionRoute::Owner);
-    let without_log = QuestionFacts {
+    assert_eq!(choose_route(&with_long_read_interval), QuestionRoute::Owner);
+    let with_stale_control_stream = QuestionFacts {
         is_control_stream_current: false,
         ..silent
     };
-    assert_eq!(choose_route(&without_log), QuestionRoute::Owner);
-    let long_without_log = QuestionFacts {
+    assert_eq!(
+        choose_route(&with_stale_control_stream),
+        QuestionRoute::Owner
+    );
+    let long_silent_with_stale_control_stream = QuestionFacts {
         is_control_stream_current: false,
         ..with_owner(40_000, false)
     };
-    assert_eq!(choose_route(&long_without_log), QuestionRoute::Log);
+    assert_eq!(
+        choose_route(&long_silent_with_stale_control_stream),
+        QuestionRoute::Log
+    );
 }
 
 #[test]
-fn a_node_that_fails_is_left_alone_ever_longer() {
+fn backoff_doubles_with_each_failure_up_to_a_maximum() {
     let mut backoff = PeerBackoff::default();
     assert!(!backoff.is_paused(0));
     backoff.record_failure(1_000);
@@ -82,7 +91,7 @@
 }
 
 #[test]
-fn a_node_that_declines_is_asked_again_soon() {
+fn backoff_after_a_refusal_is_short() {
     let mut backoff = PeerBackoff::default();
     backoff.record_failure(0);
     backoff.record_failure(0);
--- a/crates/rollout/tests/reachable_machines.rs
+++ b/crates/rollout/tests/reachable_machines.rs
@@ -1,4 +1,4 @@
-//! Addresses of machines: how many are told and kept, and whom a node asks.
+//! Tests of the announced addresses of machines: how many are announced and kept, and which ones a node selects.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -20,39 +20,40 @@
     SocketAddr::from(([10, 0, 0, 1], number))
 }
 
-/// Machines that tell their addresses one after the other, each if the others want it; answers how many did.
-fn tell_all(addresses: &mut ReachableMachines, machines: u16) -> usize {
-    let mut told = 0;
+/// Lets machines announce their addresses one after the other, each only if the address is wanted. Returns the number of
+/// announcements.
+fn announce_all(addresses: &mut ReachableMachines, machines: u16) -> usize {
+    let mut announced = 0;
     for number in 0..machines {
         let machine = machine(number);
         if addresses.is_wanted(&machine, address(number)) {
             addresses.record_address(machine, address(number));
-            told += 1;
+            announced += 1;
         }
     }
-    told
+    announced
 }
 
 #[test]
 fn a_small_fleet_knows_all_its_addresses() {
     let mut addresses = ReachableMachines::default();
-    assert_eq!(tell_all(&mut addresses, 4), 4);
+    assert_eq!(announce_all(&mut addresses, 4), 4);
     let others = addresses.sample_others(&machine(1), 8, 0);
     let expected = [address(0), address(2), address(3)];
     assert_eq!(others, expected);
 }
 
 #[test]
-fn what_is_kept_does_not_grow_with_the_fleet() {
+fn the_number_of_kept_addresses_does_not_grow_with_the_fleet() {
     let mut addresses = ReachableMachines::default();
-    tell_all(&mut addresses, 2_000);
+    announce_all(&mut addresses, 2_000);
     assert_eq!(addresses.checkpoint().len(), MAX_ADDRESSES);
-    let again = tell_all(&mut addresses, 2_000);
-    assert_eq!(again, 0, "all that are wanted are known");
+    let again = announce_all(&mut addresses, 2_000);
+    assert_eq!(again, 0, "all wanted addresses are known");
 }
 
 #[test]
-fn nodes_that_read_in_another_order_keep_the_same() {
+fn the_kept_addresses_do_not_depend_on_the_order_of_announcements() {
     let (mut one, mut other) = (ReachableMachines::default(), ReachableMachines::default());
     for number in 0..100 {
         one.record_address(machine(number), address(number));
@@ -62,7 +63,7 @@
 }
 
 #[test]
-fn a_machine_that_moved_tells_its_new_address() {
+fn a_machine_with_a_new_address_announces_it() {
     let mut addresses = ReachableMachines::default();
     addresses.record_address(machine(1), address(1));
     assert!(!addresses.is_wanted(&machine(1), address(1)));
@@ -72,19 +73,20 @@
 }
 
 #[test]
-fn each_draw_asks_others() {
+fn different_draws_select_different_machines() {
     let mut addresses = ReachableMachines::default();
-    tell_all(&mut addresses, 6);
-    let asked = (0..5).map(|draw| addresses.sample_others(&machine(0), 1, draw));
-    let asked: BTreeSet<SocketAddr> = asked.flatten().collect();
-    assert_eq!(asked.len(), 5);
+    announce_all(&mut addresses, 6);
+    let selected = (0..5).map(|draw| addresses.sample_others(&machine(0), 1, draw));
+    let selected: BTreeSet<SocketAddr> = selected.flatten().collect();
+    assert_eq!(selected.len(), 5);
     let alone = ReachableMachines::default();
     assert!(alone.sample_others(&machine(0), 1, 7).is_empty());
 }
 
-/// While a release goes on, the checkpoint may be of the build before.
+/// During a rolling upgrade, the checkpoint may have been written by the previous version, whose format has no
+/// addresses.
 #[test]
-fn a_checkpoint_keeps_them_and_one_of_the_build_before_has_none() {
+fn a_checkpoint_keeps_addresses_and_one_of_the_previous_format_has_none() {
     let mut state = ControlState::new(MachineName::from("writer"));
     let (machine, address) = (machine(1), address(1));
     state.apply(ControlRecord::Reachable { machine, address }, 7);
@@ -101,24 +103,28 @@
         ..written
     };
     let mut bytes = before.encode();
-    assert_eq!(bytes.pop(), Some(0), "the list that it did not have");
+    assert_eq!(
+        bytes.pop(),
+        Some(0),
+        "the empty list of addresses, which the previous format lacks"
+    );
     assert_eq!(ControlCheckpoint::decode(&bytes), Ok(before));
 }
 
 #[test]
-fn those_that_are_asked_together_lie_far_apart() {
+fn selected_machines_are_far_apart_in_the_order_of_names() {
     let mut addresses = ReachableMachines::default();
-    tell_all(&mut addresses, 9);
+    announce_all(&mut addresses, 9);
     for draw in 0..8 {
-        let asked = addresses.sample_others(&machine(0), 2, draw);
-        let ports: Vec<u16> = asked.iter().map(SocketAddr::port).collect();
+        let selected = addresses.sample_others(&machine(0), 2, draw);
+        let ports: Vec<u16> = selected.iter().map(SocketAddr::port).collect();
         assert_eq!(ports[0].abs_diff(ports[1]), 4, "{ports:?}");
     }
 }
 
-/// A fleet of which each machine's address is kept has nobody wait for a turn.
+/// In a fleet whose size is within the limit every address is kept, so no machine has to wait for its turn.
 #[test]
-fn only_small_fleets_tell_their_addresses_at_once() {
+fn only_small_fleets_announce_their_addresses_at_once() {
     assert!(can_announce_at_once(1) && can_announce_at_once(MAX_ADDRESSES));
     assert!(!can_announce_at_once(MAX_ADDRESSES + 1));
 }
--- a/crates/rollout/tests/residency.rs
+++ b/crates/rollout/tests/residency.rs
@@ -1,4 +1,4 @@
-//! Where requests may be served: regions of routes and tenants both bind.
+//! Tests of data residency: a region must be allowed by both the route and the tenant.
 
 use havenstage_rollout::ids::{RegionName, ZoneName};
 use havenstage_rollout::residency::{RegionMap, Residency};
@@ -9,7 +9,7 @@
     RegionName::from(name)
 }
 
-/// Every subset of the regions.
+/// Every subset of the test regions, including the empty one.
 fn subsets() -> impl Iterator<Item = Vec<&'static str>> {
     (0..1 << REGIONS.len()).map(|bits: usize| {
         let is_in = |at: &usize| bits >> at & 1 == 1;
@@ -20,18 +20,19 @@
     })
 }
 
-fn of(regions: &[&str]) -> Residency {
+fn residency_of(regions: &[&str]) -> Residency {
     Residency::of(regions.iter().map(|name| region(name)))
 }
 
 #[test]
-fn for_all_pairs_a_region_is_allowed_by_both_or_not_at_all() {
+fn a_region_is_allowed_by_an_intersection_only_if_both_sides_allow_it() {
     for left in subsets() {
         for right in subsets() {
-            let both = of(&left).and(&of(&right));
+            let both = residency_of(&left).and(&residency_of(&right));
             for name in REGIONS {
-                let by = |regions: &[&str]| regions.is_empty() || regions.contains(&name);
-                let expected = by(&left) && by(&right);
+                let is_allowed_by =
+                    |regions: &[&str]| regions.is_empty() || regions.contains(&name);
+                let expected = is_allowed_by(&left) && is_allowed_by(&right);
                 let allows = both.allows(Some(&region(name)));
                 assert_eq!(allows, expected, "{left:?} and {right:?} in {name}");
             }
@@ -42,14 +43,14 @@
 #[test]
 fn an_unknown_region_is_allowed_only_where_nothing_is_restricted() {
     assert!(Residency::anywhere().allows(None));
-    assert!(!of(&["north"]).allows(None));
-    let nowhere = of(&["north"]).and(&of(&["south"]));
+    assert!(!residency_of(&["north"]).allows(None));
+    let nowhere = residency_of(&["north"]).and(&residency_of(&["south"]));
     assert!(nowhere.is_restricted());
     assert!(!nowhere.allows(Some(&region("north"))));
 }
 
 #[test]
-fn zones_lie_in_the_regions_that_are_configured() {
+fn zones_are_mapped_to_their_configured_regions() {
     let map: RegionMap = [(ZoneName::from("a"), region("north"))]
         .into_iter()
         .collect();
--- a/crates/rollout/tests/routes.rs
+++ b/crates/rollout/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Which route and which pool a call takes.
+//! Tests of the choice of a route by host and path, and of a pool by weight.
 
 use havenstage_rollout::ids::PoolName;
 use havenstage_rollout::residency::Residency;
@@ -57,14 +57,14 @@
 }
 
 #[test]
-fn pools_share_a_route_by_their_weights() {
+fn requests_are_split_over_pools_by_weight() {
     let route = route("split", "/", &[("big", 90), ("small", 10), ("none", 0)]);
-    let drawn: Vec<&PoolName> = (0..1_000).filter_map(|hash| route.pool_for(hash)).collect();
-    let count = |name: &str| drawn.iter().filter(|pool| pool.as_str() == name).count();
+    let chosen: Vec<&PoolName> = (0..1_000).filter_map(|hash| route.pool_for(hash)).collect();
+    let count = |name: &str| chosen.iter().filter(|pool| pool.as_str() == name).count();
     assert_eq!((count("big"), count("small"), count("none")), (900, 100, 0));
 }
 
 #[test]
-fn a_route_without_weight_leads_nowhere() {
+fn a_route_whose_weights_are_all_zero_has_no_pool() {
     assert_eq!(route("empty", "/", &[("none", 0)]).pool_for(7), None);
 }
