--- a/crates/rollout/src/batch.rs
+++ b/crates/rollout/src/batch.rs
@@ -1,4 +1,4 @@
-//! What a caller hands in: a batch of items, and the checks it must pass before it is kept.
+//! A batch of items as a client submits it, and the checks it must pass before it is written to the log.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -9,72 +9,72 @@
 
 use crate::ids::{BatchId, GroupId, ItemId, ModelName, Version};
 
-/// A header of an item's request.
+/// An HTTP header of an item's request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Header {
-    /// Name.
+    /// Header name, as the client spelled it.
     pub name: String,
-    /// Value.
+    /// Header value, sent unchanged.
     pub value: String,
 }
 
-/// The call that scores an item's text.
+/// The HTTP call that scores an item's output text.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RewardCall {
-    /// Request id of the call.
+    /// Request id that the call is sent with.
     pub id: String,
-    /// Host that selects its route.
+    /// Host that selects the route of the call.
     pub host: String,
-    /// Path.
+    /// Path of the request.
     pub path: String,
-    /// Body, sent as it is.
+    /// Body of the request, sent unchanged.
     pub body: Bytes,
 }
 
-/// One item of a batch.
+/// One item of a batch: a request to a back end, whose output the client collects.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Item {
-    /// Its id, unique within the batch.
+    /// Unique within the batch.
     pub id: ItemId,
-    /// Path of its request.
+    /// Path of the request; starts with a slash.
     pub path: String,
-    /// Headers of its request.
+    /// Headers of the request.
     pub headers: Vec<Header>,
-    /// Body of its request.
+    /// Body of the request.
     pub body: Bytes,
-    /// Its group, if it has one.
+    /// The group the item belongs to, if any.
     pub group: Option<GroupId>,
-    /// Tokens the output is expected to have, by the caller's guess or its upper limit.
+    /// Expected output length in tokens: the client's estimate or its upper limit.
     pub expected_tokens: u32,
-    /// The call that scores its text, if any.
+    /// The call that scores the output text; `None` if the output is not scored.
     pub reward: Option<RewardCall>,
 }
 
-/// A batch as handed in.
+/// A batch as the client submits it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Submission {
-    /// Its id.
+    /// Chosen by the client. A second submission with the same id is the same batch.
     pub id: BatchId,
-    /// Host that selects its route.
+    /// Host that selects the batch's route.
     pub host: String,
-    /// Path that selects its route.
+    /// Path that selects the batch's route.
     pub path: String,
-    /// Training step, if a trainer handed it in.
+    /// Training step; `None` if no trainer submitted the batch.
     pub step: Option<u64>,
-    /// Model, if a trainer named one.
+    /// Model whose weights generate the output; `None` if the client named none.
     pub model: Option<ModelName>,
-    /// Oldest version that may make any of its tokens.
+    /// Oldest version of the weights that may generate any token of the output.
     pub minimum_version: Version,
-    /// Whole groups the trainer waits for.
+    /// Number of complete groups the trainer waits for.
     pub desired_groups: u32,
-    /// All items, in the order handed in.
+    /// All items, in the order submitted.
     pub items: Vec<Arc<Item>>,
 }
 
-/// Why a batch is not taken.
+/// Why a batch is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum InvalidSubmission {
-    /// It has no items.
+    /// The batch has no items.
     #[error("the batch has no items")]
     Empty,
     /// Two items have the same id.
@@ -86,7 +86,8 @@
 }
 
 impl Submission {
-    /// Checks that the items can be told apart and sent.
+    /// Checks that the batch has items, that their ids are unique and not empty, and that their paths start with
+    /// a slash. Returns the first violation in the order of the items.
     pub fn validate(&self) -> Result<(), InvalidSubmission> {
         if self.items.is_empty() {
             return Err(InvalidSubmission::Empty);
--- a/crates/rollout/src/control_record.rs
+++ b/crates/rollout/src/control_record.rs
@@ -1,4 +1,5 @@
-//! What nodes write to the control stream.
+//! Records of the control stream: the part of the log that all nodes read and write to coordinate batches,
+//! orders to back ends, and the fleet.
 
 use std::net::SocketAddr;
 
@@ -15,132 +16,135 @@
 /// A record of the control stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ControlRecord {
-    /// A node started on a machine. A part of the fleet says so ([`crate::fleet_size`]).
+    /// A node started on a machine. Only a part of the fleet writes this record ([`crate::fleet_size`]).
     Joined {
-        /// The machine.
+        /// The machine that the node started on.
         machine: MachineName,
     },
-    /// A node that runs batches is alive. It has connections to the back ends of its routes, so their
-    /// next batches are handed to it.
+    /// A node that runs batches is alive. It has connections to the back ends of its routes, so other nodes hand
+    /// it the next batches of these routes.
     Heartbeat {
-        /// The node.
+        /// The node that writes the heartbeat.
         node: NodeId,
-        /// Names of the routes.
+        /// Names of the routes whose batches the node runs.
         routes: Vec<String>,
-        /// The open batches it runs: one that is not named for a while may be claimed.
+        /// The open batches that the node runs. Another node may claim a batch that has not been named for a
+        /// while.
         batches: Vec<BatchId>,
     },
     /// A batch was accepted.
     BatchAccepted(BatchNotice),
-    /// A node gives batches up.
+    /// A node stops running some of its batches.
     BatchesReleased {
-        /// The node.
+        /// The node that ran the batches.
         node: NodeId,
-        /// The batches.
+        /// The released batches.
         batches: Vec<BatchId>,
     },
-    /// Nothing is left to be done about a batch.
+    /// No work is left for a batch.
     BatchClosed {
-        /// The batch.
+        /// The closed batch.
         batch: BatchId,
     },
-    /// A node claims the lease; the term is its fencing token.
+    /// A node claims the order lease, whose holder gives orders to back ends. The term is the fencing token.
     LeaseClaimed {
-        /// The claimed term; counts only if it is higher than the current one.
+        /// The claimed term; the claim counts only if it is higher than the current term.
         term: Term,
-        /// The new holder.
+        /// The node that claims the lease.
         holder: NodeId,
     },
-    /// The holder is alive.
+    /// Heartbeat of the holder of the order lease.
     LeaseKept {
         /// The holder's term.
         term: Term,
-        /// The holder.
+        /// The node that holds the lease.
         holder: NodeId,
-        /// Milliseconds from when the holder's last sign of life certainly stood in the log until this one
-        /// was sent; 0 at the first, and after one whose append had no answer.
+        /// Milliseconds from the time at which the holder's previous heartbeat was certainly in the log until
+        /// this one was sent; 0 for the first one, and if the append of the previous one had no answer.
         after_ms: Millis,
     },
-    /// The holder gives the lease up.
+    /// The holder releases the order lease.
     LeaseReleased {
-        /// The holder's term.
+        /// The holder's term; the release counts only if it is the current term.
         term: Term,
     },
-    /// An order is about to be given.
+    /// The holder of the order lease is about to order a back end to load a version of a model.
     Ordered {
-        /// Who gives it.
+        /// The node that gives the order.
         holder: NodeId,
-        /// The back end.
+        /// The back end that gets the order.
         backend: BackendId,
-        /// The model.
+        /// The model whose weights are to be loaded.
         model: ModelName,
         /// The version to load.
         version: Version,
     },
-    /// The back end was asked: it carries out no order, and has this version.
+    /// A back end was polled: it is not carrying out an order, and serves this version.
     Observed {
-        /// The back end.
+        /// The back end that was polled.
         backend: BackendId,
-        /// The model.
+        /// The model that the back end serves.
         model: ModelName,
-        /// The version it has.
+        /// The version that the back end has loaded.
         version: Version,
     },
-    /// Nothing more is expected of the order that the back end was given.
+    /// The last order to a back end is no longer pending, whether or not the back end carried it out.
     Withdrawn {
-        /// The back end.
+        /// The back end that had got the order.
         backend: BackendId,
     },
-    /// A back end ended while it ran a request.
+    /// A back end ended (crashed or stopped) while it ran a request.
     BackendEnded {
-        /// The request.
+        /// Fingerprint of the request that was running.
         request: Fingerprint,
-        /// The back end, and who saw it.
+        /// The back end that ended and the node that observed it.
         ended: EndedBackend,
     },
-    /// Nothing is held against a request any more: a back end answered it, or an operator said so.
+    /// A request is no longer suspected of ending back ends: a back end has answered it, or an operator has
+    /// cleared it.
     RequestCleared {
-        /// The request.
+        /// Fingerprint of the cleared request.
         request: Fingerprint,
     },
-    /// A back end that was taken for ended answers.
+    /// A back end that was assumed to have ended answers again.
     BackendLives {
-        /// The back end.
+        /// The back end that answers.
         backend: BackendId,
     },
-    /// The usage of a window is to be reported so.
+    /// Fixes the usage that is to be reported for a time window.
     UsageDecided {
-        /// The window.
+        /// The time window.
         window: UsageWindow,
-        /// Requests of each tenant.
+        /// Number of requests of each tenant in the window.
         counts: RequestCounts,
     },
-    /// A size of a pool is about to be ordered.
+    /// The holder of the order lease is about to order a new size of a pool in a zone.
     SizeOrdered {
-        /// The pool.
+        /// The pool to resize.
         pool: PoolName,
-        /// The zone.
+        /// The zone in which the pool is resized.
         zone: ZoneName,
-        /// Back ends there.
+        /// Number of back ends that the pool is to have in the zone.
         size: u32,
     },
-    /// The usage of a window was reported, or is not tried any more.
+    /// The usage of a time window was reported, or reporting it was given up.
     UsageSettled {
-        /// The window.
+        /// The time window.
         window: UsageWindow,
     },
-    /// A node that runs batches answers other nodes' questions about them at an address.
+    /// A node that runs batches accepts requests of other nodes about these batches at an address.
     PeerListens {
-        /// The node.
+        /// The node that accepts the requests.
         node: NodeId,
-        /// Its address.
+        /// The address at which it accepts them.
         address: SocketAddr,
     },
-    /// A machine can be reached by other nodes. A part of the fleet says so ([`crate::reachable_machines`]).
+    /// A machine can be reached by other nodes. Only a part of the fleet writes this record
+    /// ([`crate::reachable_machines`]).
     Reachable {
-        /// The machine.
+        /// The machine that can be reached.
         machine: MachineName,
-        /// Where it takes datagrams of other nodes.
+        /// Where the machine receives datagrams of other nodes.
         address: SocketAddr,
     },
 }
--- a/crates/rollout/src/framing.rs
+++ b/crates/rollout/src/framing.rs
@@ -1,5 +1,6 @@
-//! Splits a value over several records of a log that bounds their size. The pieces are appended in
-//! one call, all or nothing, so they are contiguous.
+//! Splits a value over several log records, since the log limits the size of a record. The caller appends all
+//! records of a value in one call, which is atomic, so they are contiguous in the log. The first byte of each
+//! record says which part of the value it holds.
 
 use bytes::{BufMut, Bytes, BytesMut};
 
@@ -8,61 +9,63 @@
 const MIDDLE: u8 = 2;
 const LAST: u8 = 3;
 
-/// The records that hold `value`, each of `record_bytes` at most.
+/// Splits `value` into records of at most `record_bytes` bytes each, but at least 2: one for the kind of the
+/// record and one of the value.
 pub fn split(value: &[u8], record_bytes: usize) -> Vec<Bytes> {
-    let piece_bytes = record_bytes.saturating_sub(1).max(1);
-    if value.len() <= piece_bytes {
-        return vec![piece(WHOLE, value)];
+    let fragment_bytes = record_bytes.saturating_sub(1).max(1);
+    if value.len() <= fragment_bytes {
+        return vec![build_record(WHOLE, value)];
     }
-    let last = value.len().div_ceil(piece_bytes) - 1;
-    let pieces = value.chunks(piece_bytes).enumerate();
-    pieces
+    let last = value.len().div_ceil(fragment_bytes) - 1;
+    let fragments = value.chunks(fragment_bytes).enumerate();
+    fragments
         .map(|(index, bytes)| match index {
-            0 => piece(FIRST, bytes),
-            _ if index == last => piece(LAST, bytes),
-            _ => piece(MIDDLE, bytes),
+            0 => build_record(FIRST, bytes),
+            _ if index == last => build_record(LAST, bytes),
+            _ => build_record(MIDDLE, bytes),
         })
         .collect()
 }
 
-fn piece(mark: u8, bytes: &[u8]) -> Bytes {
+fn build_record(kind: u8, bytes: &[u8]) -> Bytes {
     let mut record = BytesMut::with_capacity(bytes.len() + 1);
-    record.put_u8(mark);
+    record.put_u8(kind);
     record.put_slice(bytes);
     record.freeze()
 }
 
-/// Joins records back to values, in the order of the log.
+/// Joins records back into values, in the order of the log.
 #[derive(Debug, Default)]
 pub struct Joiner {
-    open: Option<BytesMut>,
+    /// The value whose first record was read and whose last was not.
+    partial: Option<BytesMut>,
 }
 
 impl Joiner {
-    /// Whether no value is open: the next record begins one.
+    /// Whether no value is incomplete, so that the next record begins a value.
     pub fn is_between_values(&self) -> bool {
-        self.open.is_none()
+        self.partial.is_none()
     }
 
-    /// Takes the next record; answers a value when one is whole. Pieces without their beginning,
-    /// which a reader sees that starts behind it, are dropped.
+    /// Takes the next record. Returns a value if this record completes it. Records of a value whose first record
+    /// was not read are dropped: the reader started in the middle of the value.
     pub fn push(&mut self, record: Bytes) -> Option<Bytes> {
-        let (mark, bytes) = (*record.first()?, record.slice(1..));
-        match mark {
+        let (kind, bytes) = (*record.first()?, record.slice(1..));
+        match kind {
             WHOLE => {
-                self.open = None;
+                self.partial = None;
                 Some(bytes)
             }
             FIRST => {
-                self.open = Some(BytesMut::from(&bytes[..]));
+                self.partial = Some(BytesMut::from(&bytes[..]));
                 None
             }
             MIDDLE => {
-                self.open.as_mut()?.put_slice(&bytes);
+                self.partial.as_mut()?.put_slice(&bytes);
                 None
             }
             LAST => {
-                let mut value = self.open.take()?;
+                let mut value = self.partial.take()?;
                 value.put_slice(&bytes);
                 Some(value.freeze())
             }
--- a/crates/rollout/src/ids.rs
+++ b/crates/rollout/src/ids.rs
@@ -1,4 +1,4 @@
-//! Identifiers. Each is text chosen by its issuer and cheap to clone.
+//! Identifiers. Text identifiers are chosen by their issuer and are cheap to clone.
 
 use std::borrow::Borrow;
 use std::fmt;
@@ -13,7 +13,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// The identifier's text.
+            /// Returns the identifier as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -52,82 +52,83 @@
 }
 
 text_id!(
-    /// A batch of items, as its submitter named it.
+    /// Identifier of a batch of items, chosen by the client that submits it.
     BatchId
 );
 text_id!(
-    /// An item; unique within its batch, and the request id of its runs.
+    /// Identifier of an item, unique within its batch. All runs of the item send it as their request id.
     ItemId
 );
 text_id!(
-    /// Items of one group share a prompt and are consumed together.
+    /// Identifier of a group: items that share a prompt and that the trainer consumes together.
     GroupId
 );
 text_id!(
-    /// The name under which a back end is listed and addressed. A process that starts again may have the name
-    /// of the one before it.
+    /// The name under which a back end is listed and addressed. A back end process that restarts may keep the
+    /// name of its predecessor.
     BackendName
 );
 text_id!(
-    /// One life of a back end: its name and, where it tells that, when it started.
+    /// One incarnation of a back end: its name and, if the back end reports it, the time at which it started.
     BackendId
 );
 
-/// Stands between the name of a back end and the start of its life.
-const LIFE_MARK: char = '@';
+/// Separates the name from the start time in a [`BackendId`].
+const START_TIME_SEPARATOR: char = '@';
 
 impl BackendId {
-    /// The life of a back end that started at a time of day, in milliseconds since the beginning of 1970.
+    /// Builds the id of the incarnation of back end `name` that started at `started_at`, in milliseconds since
+    /// the Unix epoch (the beginning of 1970). Without a start time, the id is the name alone.
     pub fn from_name_and_start(name: &BackendName, started_at: Option<u64>) -> Self {
         match started_at {
-            Some(started_at) => Self::from(format!("{name}{LIFE_MARK}{started_at}")),
+            Some(started_at) => Self::from(format!("{name}{START_TIME_SEPARATOR}{started_at}")),
             None => Self::from(name.as_str()),
         }
     }
 
-    /// The back end's name, which all its lives share.
+    /// The back end's name, which all its incarnations share.
     pub fn name(&self) -> &str {
         self.parts().0
     }
 
-    /// When this life started, if it is known.
+    /// When this incarnation started, in milliseconds since the Unix epoch; `None` if it is not known.
     pub fn started_at(&self) -> Option<u64> {
         self.parts().1
     }
 
     fn parts(&self) -> (&str, Option<u64>) {
-        let parts = self.0.rsplit_once(LIFE_MARK);
+        let parts = self.0.rsplit_once(START_TIME_SEPARATOR);
         let parts = parts.and_then(|(name, start)| Some((name, start.parse().ok()?)));
         parts.map_or((&self.0, None), |(name, start)| (name, Some(start)))
     }
 }
 text_id!(
-    /// A pool of back ends that serve the same thing.
+    /// Name of a pool: a set of interchangeable back ends.
     PoolName
 );
 text_id!(
-    /// A model whose weights are versioned.
+    /// Name of a model whose weights are versioned.
     ModelName
 );
 text_id!(
-    /// The machine a node runs on; outlives the node's process.
+    /// Name of the machine that a node runs on. It stays the same when the node's process restarts.
     MachineName
 );
 
 text_id!(
-    /// A zone: machines that may be cut off or lost together.
+    /// Name of a zone: machines that may fail or be partitioned from the others together.
     ZoneName
 );
 text_id!(
-    /// A region: zones that lie close together, under one law.
+    /// Name of a region: zones that are close to each other and in the same legal jurisdiction.
     RegionName
 );
 text_id!(
-    /// A tenant: somebody whose callers present keys of its own.
+    /// Name of a tenant: a customer whose clients authenticate with API keys of its own.
     TenantName
 );
 
-/// A key that callers present. It is a secret: it appears in no log line.
+/// An API key that a client presents. It is a secret, so its `Debug` output hides it and no log line holds it.
 #[derive(Clone, PartialEq, Eq, Hash)]
 pub struct ApiKey(Arc<str>);
 
@@ -149,12 +150,12 @@
     }
 }
 
-/// One life of a node's process.
+/// One incarnation of a node: the machine and one start of the node's process.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Serialize, Deserialize)]
 pub struct NodeId {
-    /// The machine.
+    /// The machine that the process runs on.
     pub machine: MachineName,
-    /// Drawn anew at each start.
+    /// Incarnation number, drawn at random each time the process starts.
     pub life: u32,
 }
 
@@ -164,14 +165,15 @@
     }
 }
 
-/// One run of an item on a back end; unique among all nodes and lives.
+/// Identifier of one run of an item on a back end, unique among all nodes and their incarnations.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Serialize, Deserialize)]
 pub struct RunId(pub u64);
 
-/// A number of weights of a model; a higher one is newer.
+/// Version number of a model's weights. A higher number is newer.
 pub type Version = u64;
 
-/// The partition that holds a batch, by the hash of its id.
+/// Returns the number of the log partition that holds a batch, from 0 to `partitions` - 1, by a hash of the
+/// batch id.
 pub fn partition_of(batch: &BatchId, partitions: u32) -> u32 {
     let hash = xxhash_rust::xxh3::xxh3_64(batch.as_str().as_bytes());
     (hash % u64::from(partitions.max(1))) as u32
--- a/crates/rollout/src/record.rs
+++ b/crates/rollout/src/record.rs
@@ -1,5 +1,5 @@
-//! Records of a partition of batches. Each may be appended more than once, and late: the fold
-//! (`crate::fold`) ignores every repetition.
+//! Records of a log partition that holds batches. A record may be appended more than once and with a delay;
+//! the fold over the partition (`crate::fold`) ignores duplicates.
 
 use std::sync::Arc;
 
@@ -14,122 +14,123 @@
 /// One event of an item's output.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OutputEvent {
-    /// Version of the weights that made it.
+    /// Version of the weights that generated the event.
     pub version: Version,
-    /// Its data.
+    /// The event's data, as the back end sent it.
     pub data: Bytes,
 }
 
 /// Why an item was given up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GiveUpReason {
-    /// A back end said that it can never be done.
+    /// A back end answered that the request can never succeed.
     Impossible,
-    /// Runs or reward calls failed as often as the route allows.
+    /// Runs or reward calls failed as many times as the route allows.
     AttemptsUsed,
-    /// It was not done within the time the route allows.
+    /// The item was not completed within the time the route allows.
     TooLate,
 }
 
-/// How an item ended.
+/// The final outcome of an item.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// Its output is whole; `score` is the signature of its reward call.
+    /// The output is complete, and its reward call, if any, has succeeded.
     Completed {
-        /// Signature of the reward call, if the item has one.
+        /// Signature of the reward call; `None` if the item has no reward call.
         score: Option<String>,
     },
-    /// It was given up.
+    /// The item will not be run again and has no output.
     GivenUp(GiveUpReason),
 }
 
-/// A record of a partition.
+/// A record of a log partition that holds batches.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BatchRecord {
-    /// A batch was accepted.
+    /// A batch of an anonymous client was accepted: the deployment has no API keys.
     Submitted {
-        /// The batch.
+        /// The batch as the client submitted it.
         submission: Arc<Submission>,
-        /// The node that runs it from the start; `None` if any may.
+        /// The node that runs the batch from the start; `None` if any node may claim it.
         owner: Option<NodeId>,
     },
-    /// A node takes a batch over.
+    /// A node claims the lease on a batch.
     Claimed {
-        /// Batch.
+        /// The claimed batch.
         batch: BatchId,
-        /// The claimed term; counts only if it is higher than the current one.
+        /// The claimed term; the claim counts only if it is higher than the current term.
         term: Term,
-        /// The new owner.
+        /// The node that claims the batch.
         owner: NodeId,
     },
-    /// The owner gives the batch up.
+    /// The owner releases its lease on a batch.
     Released {
-        /// Batch.
+        /// The released batch.
         batch: BatchId,
-        /// The owner's term.
+        /// The owner's term; the release counts only if it is the current term.
         term: Term,
     },
-    /// More output of a run.
+    /// A run produced more output.
     Progress {
-        /// Batch.
+        /// The batch of the item.
         batch: BatchId,
-        /// Item.
+        /// The item that the output belongs to.
         item: ItemId,
-        /// The run.
+        /// The run that produced the output.
         run: RunId,
-        /// Events the run was given to go on from.
+        /// Number of events of earlier runs that the run continues.
         resumed_from: u32,
-        /// Events before the first of `events`.
+        /// Number of events of the item before the first of `events`.
         from: u32,
-        /// The new events.
+        /// The new events, in order.
         events: Vec<OutputEvent>,
     },
-    /// The output so far is dropped, because no back end can go on with it: a result that must come
-    /// from one version, whose version is gone.
+    /// The output so far is dropped because no back end can continue it: the result must come from one version
+    /// of the weights, and no back end has that version any more.
     Restarted {
-        /// Batch.
+        /// The batch of the item.
         batch: BatchId,
-        /// Item.
+        /// The item whose output is dropped.
         item: ItemId,
-        /// The run whose output is dropped.
+        /// The run that generated the newest part of the dropped output.
         run: RunId,
-        /// Events that are dropped.
+        /// Number of events that are dropped.
         events: u32,
     },
-    /// An item is done.
+    /// An item got its final outcome.
     Finished {
-        /// Batch.
+        /// The batch of the item.
         batch: BatchId,
-        /// Item.
+        /// The finished item.
         item: ItemId,
-        /// The run that finished it.
+        /// The run that finished the item.
         run: RunId,
-        /// Events the run was given to go on from.
+        /// Number of events of earlier runs that the run continued.
         resumed_from: u32,
-        /// Events of the whole output.
+        /// Number of events of the whole output.
         events: u32,
-        /// How it ended.
+        /// Whether the item was completed or given up.
         outcome: Outcome,
     },
-    /// The caller ended the batch.
+    /// An anonymous client ended the batch: the deployment has no API keys.
     Ended {
-        /// Batch.
+        /// The ended batch.
         batch: BatchId,
     },
     /// A batch of a tenant was accepted.
     SubmittedFor {
-        /// The tenant.
+        /// The tenant that the batch belongs to.
         tenant: TenantName,
-        /// The batch.
+        /// The batch as the client submitted it.
         submission: Arc<Submission>,
-        /// The node that runs it from the start; `None` if any may.
+        /// The node that runs the batch from the start; `None` if any node may claim it.
         owner: Option<NodeId>,
     },
-    /// A caller with a key ended the batch; counts only if the batch belongs to one of its tenants.
+    /// A client with an API key ended the batch. The record counts only if the batch belongs to one of the
+    /// client's tenants, or to none.
     EndedFor {
-        /// Tenants for which the caller may act.
+        /// Tenants for which the client may act.
         tenants: Vec<TenantName>,
-        /// Batch.
+        /// The ended batch.
         batch: BatchId,
     },
 }
@@ -139,7 +140,7 @@
 }
 
 impl BatchRecord {
-    /// The batch it concerns.
+    /// Returns the id of the batch that the record belongs to.
     pub fn batch(&self) -> &BatchId {
         match self {
             Self::Submitted { submission, .. } | Self::SubmittedFor { submission, .. } => {
--- a/crates/rollout/src/stored.rs
+++ b/crates/rollout/src/stored.rs
@@ -1,16 +1,15 @@
-//! Values as they are kept in the log and told to other nodes: one codec for all of them.
+//! The codec (postcard) for all values that are stored in the log or sent to other nodes.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use thiserror::Error;
 
-/// Bytes that are not the value that was looked for.
+/// The error of decoding bytes that are not a value of the expected type.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("not {what}: {source}")]
 pub struct UnreadableValue {
-    /// What was looked for.
+    /// [`Stored::DESCRIPTION`] of the expected type.
     what: &'static str,
-    /// Why the bytes are not it.
     source: postcard::Error,
 }
 
@@ -20,17 +19,18 @@
     }
 }
 
-/// A value that is kept in the log, or told to another node. It holds only plain data.
+/// A value that is stored in the log or sent to another node. It holds only plain data, so that encoding it
+/// cannot fail.
 pub trait Stored: Serialize + DeserializeOwned {
-    /// What it is, with its article, for errors.
+    /// Name of the type in error messages and log lines, with its article, such as "a record of a batch".
     const DESCRIPTION: &'static str;
 
-    /// The bytes that stand for it.
+    /// Encodes the value.
     fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).expect("the value holds only plain data")
     }
 
-    /// Reads such bytes.
+    /// Decodes a value. Returns an error if the bytes are not an encoded value of this type.
     fn decode(bytes: &[u8]) -> Result<Self, UnreadableValue> {
         postcard::from_bytes(bytes)
             .map_err(|source| UnreadableValue::new(Self::DESCRIPTION, source))
--- a/crates/rollout/tests/framing.rs
+++ b/crates/rollout/tests/framing.rs
@@ -6,7 +6,7 @@
 
 proptest! {
     #[test]
-    fn values_come_back_whole(
+    fn split_values_are_joined_unchanged(
         values in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..200), 1..8),
         record_bytes in 2_usize..64,
     ) {
@@ -21,7 +21,7 @@
     }
 
     #[test]
-    fn a_reader_that_starts_inside_a_value_drops_only_that(skipped in 1_usize..5) {
+    fn a_reader_that_starts_inside_a_value_drops_only_that_value(skipped in 1_usize..5) {
         let mut records = split(&[1; 50], 11);
         records.extend(split(b"next", 11));
         let mut joiner = Joiner::default();
--- a/crates/rollout/tests/submission.rs
+++ b/crates/rollout/tests/submission.rs
@@ -1,4 +1,4 @@
-//! Batches that cannot be kept are refused whole.
+//! Batches with an invalid item are rejected as a whole.
 
 mod support;
 
@@ -7,7 +7,7 @@
 use support::{item, submission};
 
 #[test]
-fn a_proper_batch_is_taken() {
+fn a_valid_batch_is_accepted() {
     assert_eq!(
         submission("batch", vec![item("a", "g", 1), item("b", "g", 1)]).validate(),
         Ok(())
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_batch_without_items_or_with_an_item_twice_is_not() {
+fn a_batch_without_items_or_with_a_repeated_item_is_rejected() {
     assert_eq!(
         submission("batch", Vec::new()).validate(),
         Err(InvalidSubmission::Empty)
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn an_item_whose_path_cannot_be_sent_is_not() {
+fn an_item_with_a_path_without_a_leading_slash_is_rejected() {
     let mut malformed = (*item("a", "g", 1)).clone();
     malformed.path = "no slash".to_owned();
     let outcome = submission("batch", vec![std::sync::Arc::new(malformed)]).validate();
