--- a/crates/rollout/src/claim_delay.rs
+++ b/crates/rollout/src/claim_delay.rs
@@ -1,55 +1,63 @@
-//! When each of many nodes claims a lease whose holder is silent.
+//! Delays after which the nodes of a fleet claim a lease whose holder sends no heartbeats.
 //!
-//! The load that this answers: a holder is gone, or all are, and every node sees it. A claim of a batch reads the whole
-//! batch, and others hear of it only when they next read. Spread evenly over a time that grew with the fleet, claims
-//! came at 67 a second for each batch, whatever the fleet: with 16 batches, more than the log gives, so that claims
-//! failed and were made again. Now one node may claim at once, twice as many with each time that a claim takes to be
-//! seen, and no more than so many a second from the whole fleet.
+//! When one holder or all holders fail, every node detects it at about the same time. A claim of a batch reads the
+//! whole batch, and other nodes learn of the claim only at their next read of the log. With claims spread evenly over
+//! a time proportional to the number of machines, 67 nodes a second claim each batch at any fleet size; with 16
+//! batches that exceeds the capacity of the log, so that claims fail and are retried.
+//!
+//! Therefore the expected number of claims starts small, doubles in each interval in which a claim becomes visible to
+//! other nodes, and is limited to a maximum rate over the whole fleet.
 
 use crate::Millis;
 
-/// Machines up to which claims are spread evenly: there are few of them.
-const FEW_MACHINES: usize = 20;
-/// Nodes that are expected to claim at once: with one, a third of the leases would wait for the next.
-const FIRST_CLAIMS: f64 = 2.0;
-/// Claims of one lease that the whole fleet makes in a second, once those are many that may claim: a batch that nobody
-/// could claim within seconds is hardly waited for, and each try reads it.
-const MOST_CLAIMS_PER_S: f64 = 10.0;
+/// Largest number of machines whose claims are spread evenly: so few need no limit.
+const EVEN_SPREAD_MAX_MACHINES: usize = 20;
+/// Expected number of nodes that claim without delay. With 1, no node would do so for a third of the leases, which
+/// would wait for the next node.
+const EXPECTED_IMMEDIATE_CLAIMS: f64 = 2.0;
+/// Maximum rate at which the whole fleet claims one lease, once many nodes may claim it. Each attempt reads the whole
+/// batch, and a client hardly waits any longer for a batch that no node could claim within seconds.
+const MAX_CLAIMS_PER_S: f64 = 10.0;
 const MS_PER_S: f64 = 1_000.0;
 
-/// How a fleet spreads its claims.
+/// Parameters by which the nodes of a fleet spread their claims of a lease.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ClaimSpread {
-    /// How many machines there are.
+    /// Number of machines in the fleet.
     pub machines: usize,
-    /// Time over which few machines spread their claims, in milliseconds.
+    /// Time over which a small fleet spreads its claims, in milliseconds.
     pub spread_ms: Millis,
-    /// Time that a claim takes to be seen by all, in milliseconds.
+    /// Time until all nodes have read a claim, in milliseconds.
     pub claim_visible_after_ms: Millis,
 }
 
 impl ClaimSpread {
-    /// Time that a node waits with its claim. `draw` is its number for this claim, drawn evenly from all.
+    /// Returns the time that a node waits before it claims, in milliseconds. `draw` is the node's random number for
+    /// this claim, uniform over all values.
     pub fn delay_ms(&self, draw: u64) -> Millis {
         let spread_ms = self.spread_ms.max(1);
-        if self.machines <= FEW_MACHINES {
+        if self.machines <= EVEN_SPREAD_MAX_MACHINES {
             return draw % spread_ms;
         }
         let share = draw as f64 / u64::MAX as f64;
-        // How many nodes are expected to claim before this one.
+        // Expected number of nodes that claim before this one.
         let rank = share * self.machines as f64;
         let doubling_ms = (spread_ms + self.claim_visible_after_ms) as f64;
-        let claims_per_ms = MOST_CLAIMS_PER_S / MS_PER_S;
-        // From this rank on doublings would bring more claims a second than are wanted.
-        let last_doubled = (claims_per_ms * doubling_ms / std::f64::consts::LN_2).max(FIRST_CLAIMS);
-        let doubled_ms =
-            doubling_ms * (rank.clamp(FIRST_CLAIMS, last_doubled) / FIRST_CLAIMS).log2();
-        let evenly_ms = (rank - last_doubled).max(0.0) / claims_per_ms;
+        let claims_per_ms = MAX_CLAIMS_PER_S / MS_PER_S;
+        // Beyond this rank, further doubling would exceed the maximum rate.
+        let last_doubled_rank =
+            (claims_per_ms * doubling_ms / std::f64::consts::LN_2).max(EXPECTED_IMMEDIATE_CLAIMS);
+        let doubled_ms = doubling_ms
+            * (rank.clamp(EXPECTED_IMMEDIATE_CLAIMS, last_doubled_rank)
+                / EXPECTED_IMMEDIATE_CLAIMS)
+                .log2();
+        let evenly_ms = (rank - last_doubled_rank).max(0.0) / claims_per_ms;
         (doubled_ms + evenly_ms) as Millis
     }
 
-    /// Time until a node tries again whose claim came to nothing: those that may claim first try often, and the many
-    /// that come after them as seldom as they came late.
+    /// Returns the time until a node retries a claim that failed, in milliseconds: at least `silence_ms`, the time
+    /// without heartbeats after which a lease may be claimed. The first nodes to claim retry often; later nodes retry
+    /// after their own longer delay, so that retries don't exceed the maximum rate.
     pub fn retry_delay_ms(&self, draw: u64, silence_ms: Millis) -> Millis {
         silence_ms.max(self.delay_ms(draw))
     }
--- a/crates/rollout/tests/claims.rs
+++ b/crates/rollout/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Callers who compete for too few places, in virtual time.
+//! Claimants (tenants, or urgency classes) that compete for too few slots of a pool, in virtual time.
 
 mod support;
 
@@ -13,7 +13,7 @@
 const ITEM_MS: u64 = 1_000;
 const TOKENS: u32 = 1_000;
 
-/// Items handed in together.
+/// Items of one claimant that are submitted together.
 struct Burst {
     at_ms: u64,
     claim: Claim,
@@ -28,21 +28,22 @@
     }
 }
 
-/// How long an item waited for its place.
+/// How long an item waited for a slot, in milliseconds.
 struct Wait {
     claimant: String,
     ms: u64,
 }
 
-/// A way to order what waits: the items, what runs, free places and the time.
+/// Sorts the waiting items, given the running items, the number of free slots and the time in milliseconds.
 type Order = fn(&mut Vec<WaitingItem>, &[RunningItem], usize, u64);
 
 fn by_claims(waiting: &mut Vec<WaitingItem>, running: &[RunningItem], free: usize, now: u64) {
     order_waiting(waiting, running, free, now, 1.0);
 }
 
-/// Plays bursts on a pool whose places change: pairs of a time and a number.
-fn play(bursts: &[Burst], places: &[(u64, usize)], order: Order) -> Vec<Wait> {
+/// Simulates the bursts on a pool and returns the wait of each item. `slots` holds the times at which the number of
+/// slots changes, in milliseconds, each with the new number.
+fn simulate(bursts: &[Burst], slots: &[(u64, usize)], order: Order) -> Vec<Wait> {
     let (mut waiting, mut waits) = (Vec::new(), Vec::new());
     let mut running: Vec<RunningItem> = Vec::new();
     let mut now = 0;
@@ -52,8 +53,8 @@
             waiting.extend(items);
         }
         running.retain(|running| running.running_ms < ITEM_MS);
-        let known = places.iter().rev().find(|(from, _)| *from <= now);
-        let free = known.map_or(0, |(_, places)| places.saturating_sub(running.len()));
+        let current = slots.iter().rev().find(|(from, _)| *from <= now);
+        let free = current.map_or(0, |(_, slots)| slots.saturating_sub(running.len()));
         order(&mut waiting, &running, free, now);
         for item in waiting.drain(..free.min(waiting.len())) {
             waits.push(Wait {
@@ -111,63 +112,63 @@
     of.iter().sum::<u64>() / of.len() as u64
 }
 
-/// Every second for so long.
+/// A burst of `count` items in each of so many seconds.
 fn each_second(seconds: u64, claim: &Claim, count: usize) -> Vec<Burst> {
     let times = (0..seconds).map(|second| second * 1_000);
     times.map(|at| burst(at, claim.clone(), count)).collect()
 }
 
 #[test]
-fn a_tenant_at_ten_times_its_share_delays_nobody_else() {
+fn a_tenant_at_ten_times_its_share_does_not_delay_others() {
     let mut bursts = each_second(20, &claim(1, "steady"), 10);
     bursts.extend(each_second(20, &claim(1, "flood"), 100));
-    let waits = play(&bursts, &[(0, 20)], by_claims);
+    let waits = simulate(&bursts, &[(0, 20)], by_claims);
     assert!(longest_wait(&waits, "steady") <= ITEM_MS);
-    let before = play(&bursts, &[(0, 20)], |waiting, _, _, now| {
+    let without_shares = simulate(&bursts, &[(0, 20)], |waiting, _, _, now| {
         sort_waiting(waiting, now, 1.0);
     });
     assert!(
-        longest_wait(&before, "steady") > 10 * ITEM_MS,
-        "what fair shares answer"
+        longest_wait(&without_shares, "steady") > 10 * ITEM_MS,
+        "without fair shares the steady tenant waits"
     );
 }
 
 #[test]
-fn what_others_leave_unused_goes_to_the_flood() {
+fn a_tenant_above_its_share_gets_the_unused_slots() {
     let mut bursts = each_second(10, &claim(1, "steady"), 2);
     bursts.push(burst(0, claim(1, "flood"), 180));
-    let waits = play(&bursts, &[(0, 20)], by_claims);
+    let waits = simulate(&bursts, &[(0, 20)], by_claims);
     assert_eq!(
         longest_wait(&waits, "flood"),
         9 * ITEM_MS,
-        "no place stood empty"
+        "no slot stayed empty"
     );
 }
 
 #[test]
-fn a_halved_pool_serves_the_urgent_as_before() {
+fn a_pool_of_half_its_size_does_not_delay_urgent_items() {
     let mut bursts = each_second(20, &claim(0, "urgent"), 8);
     bursts.extend(each_second(20, &claim(2, "patient"), 12));
-    let places = [(0, 20), (5_000, 10), (15_000, 20)];
-    let waits = play(&bursts, &places, by_claims);
+    let slots = [(0, 20), (5_000, 10), (15_000, 20)];
+    let waits = simulate(&bursts, &slots, by_claims);
     assert!(longest_wait(&waits, "urgent") <= ITEM_MS);
     assert!(longest_wait(&waits, "patient") > ITEM_MS);
 }
 
 #[test]
-fn all_tenants_late_at_once_get_the_same() {
+fn tenants_with_equal_backlogs_get_equal_waits() {
     let names = ["a", "b", "c", "d", "e"];
     let bursts: Vec<Burst> = names
         .iter()
         .map(|name| burst(0, claim(1, name), 100))
         .collect();
-    let waits = play(&bursts, &[(0, 20)], by_claims);
+    let waits = simulate(&bursts, &[(0, 20)], by_claims);
     let means = names.map(|name| mean_wait(&waits, name));
     let (least, most) = (means.iter().min().unwrap(), means.iter().max().unwrap());
     assert!(most - least <= ITEM_MS, "{means:?}");
 }
 
-/// A patient claimant's burst beside more of the urgent than there are places for, for a minute.
+/// The longest wait of a burst of a patient claimant beside a minute of more urgent items than there are slots.
 fn patient_beside_urgent(longest_wait_ms: u64) -> u64 {
     let patient = Claim {
         longest_wait_ms,
@@ -175,20 +176,20 @@
     };
     let mut bursts = each_second(60, &claim(0, "urgent"), 30);
     bursts.push(burst(0, patient, 10));
-    longest_wait(&play(&bursts, &[(0, 20)], by_claims), "patient")
+    longest_wait(&simulate(&bursts, &[(0, 20)], by_claims), "patient")
 }
 
 #[test]
-fn the_less_urgent_run_before_they_are_given_up() {
+fn less_urgent_items_run_before_they_are_given_up() {
     let waited = patient_beside_urgent(20_000);
     assert!(waited > 10_000, "the urgent go first: {waited}");
     assert!(waited < 12_000, "{waited}");
-    let without_end = patient_beside_urgent(u64::MAX);
-    assert!(without_end > 60_000, "{without_end}");
+    let without_limit = patient_beside_urgent(u64::MAX);
+    assert!(without_limit > 60_000, "{without_limit}");
 }
 
 #[test]
-fn with_places_for_all_the_longest_goes_first_whoever_it_belongs_to() {
+fn with_slots_for_all_the_longest_item_goes_first_regardless_of_its_claimant() {
     let item = |name: &str, rank, tokens| WaitingItem {
         expected_tokens: tokens,
         ..waiting_item(&burst(0, claim(rank, name), 1), 0)
@@ -207,12 +208,12 @@
     assert_eq!(
         order,
         ["mid", "urgent", "long"],
-        "the two that get places, the longest first"
+        "the two that get slots, the longest first"
     );
 }
 
 #[test]
-fn shares_are_of_tokens_not_of_items() {
+fn shares_are_counted_in_tokens_not_in_items() {
     let item = |name: &str, tokens, at| WaitingItem {
         expected_tokens: tokens,
         item: ItemId::from(format!("{name} {at}")),
@@ -228,7 +229,7 @@
 }
 
 #[test]
-fn engines_are_told_ranks_and_what_a_step_can_do_without() {
+fn engine_urgency_combines_rank_and_whether_the_item_is_optional() {
     assert_eq!((urgency(0, false), urgency(0, true)), (0, 1));
     assert_eq!((urgency(1, false), urgency(4, true)), (2, 9));
     assert_eq!(urgency(1_000, true), 9);
