--- a/crates/rollout/src/batch_index.rs
+++ b/crates/rollout/src/batch_index.rs
@@ -1,10 +1,10 @@
-//! Which batches there are and which node runs each, in records that are small enough for every
-//! node to read.
+//! An index of all batches and of the node that runs each, built from records of the control stream that are
+//! small enough for every node to read.
 //!
-//! What a batch holds lies in the batch's own partition (`crate::fold`), which only its owner and
-//! those who are asked about it read. The index is a hint: it tells whom to hand the next batch, whose
-//! silence to watch, and which weights are needed. Who holds a batch's lease is decided in its own
-//! partition.
+//! The items and output of a batch are in the batch's log partition (`crate::fold`). Only the node that runs
+//! the batch (its owner) and nodes that get requests about it read that partition. The index is a hint: nodes
+//! use it to choose the node for the next batch, to detect owners that send no heartbeats, and to find which
+//! weights are needed. The batch's partition alone decides which node holds the lease of the batch.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,35 +16,35 @@
 use crate::ids::{BatchId, ModelName, NodeId, Version};
 use crate::lease::LeaseState;
 
-/// Time without a sign of its owner after which a batch whose items are not in its partition is taken for
-/// one that was never accepted: its caller was told so long before, or went elsewhere with it.
+/// Time without a heartbeat of its owner after which a batch whose items are not in its partition counts as
+/// never accepted. By then its client has received an error, or has submitted the batch to another node.
 pub const MISSING_ITEMS_TIMEOUT_MS: Millis = 15_000;
 
-/// What all nodes learn of a batch that was accepted.
+/// The part of an accepted batch that all nodes read.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BatchNotice {
-    /// Its id.
+    /// The batch that was accepted.
     pub batch: BatchId,
-    /// Host that selects its route.
+    /// Host that selects the batch's route.
     pub host: String,
-    /// Path that selects its route.
+    /// Path that selects the batch's route.
     pub path: String,
-    /// Training step, if any.
+    /// Training step; `None` if no trainer submitted the batch.
     pub step: Option<u64>,
-    /// Model, if any.
+    /// Model whose weights generate the output; `None` if the client named none.
     pub model: Option<ModelName>,
-    /// Oldest version that may make its tokens.
+    /// Oldest version of the weights that may generate any token of the output.
     pub minimum_version: Version,
-    /// How many items it has.
+    /// Number of items in the batch.
     pub items: u32,
-    /// Tokens that all its items together are expected to have.
+    /// Sum of the expected output tokens of all items.
     pub expected_tokens: u64,
-    /// The node that runs it from the start; `None` if any may.
+    /// The node that runs the batch from the start; `None` if any node may claim it.
     pub owner: Option<NodeId>,
 }
 
 impl BatchNotice {
-    /// The notice of a batch that is handed in.
+    /// Builds the notice of a submitted batch.
     pub fn of(submission: &Submission, owner: Option<NodeId>) -> Self {
         let tokens = submission
             .items
@@ -64,33 +64,36 @@
     }
 }
 
-/// A batch as the index knows it.
+/// A batch in the index.
 #[derive(Debug, Clone)]
 pub struct IndexedBatch {
-    /// What was told when it was accepted.
+    /// The notice that was written when the batch was accepted.
     pub notice: BatchNotice,
-    /// Number of the notice in the order of the log.
+    /// Position of the notice among all notices, in the order of the log.
     pub arrival: u64,
-    /// When this node first heard of it, or of its being open again: a batch has a while from then on to
-    /// come, and nodes read its partition and the index at different times.
+    /// When this node read the notice, or the notice that reopened the batch, on this node's clock. The items
+    /// may reach the partition some time later, and nodes read the partition and the index at different times.
     pub first_seen: Millis,
-    /// When this node heard that nothing is left to be done.
+    /// When this node read that no work is left for the batch; `None` while the batch is open.
     pub closed_at: Option<Millis>,
-    /// The node that last said that it runs the batch, and when.
+    /// The node that last reported that it runs the batch, and when. It is a hint, not the batch's lease.
     pub owner: LeaseState,
-    /// Whether a node has said so since the notice: it had found the batch in its partition.
+    /// Whether a node has reported since the notice that it runs the batch, which means that the node has found
+    /// the items in the batch's partition.
     pub was_found: bool,
 }
 
 impl IndexedBatch {
-    /// Whether something is left to be done, as far as is known.
+    /// Whether work is left for the batch, as far as this node has read.
     pub fn is_open(&self) -> bool {
         self.closed_at.is_none()
     }
 
-    /// The notice stands in the log once more. Claims of a batch that is open again are spread from then on.
-    fn accepted_again(&mut self, now: Millis) {
-        if self.is_open() || self.is_done_for_good(now) {
+    /// Applies a second notice of the same batch. It reopens a batch that was closed because its items were
+    /// missing. The delays of nodes before they claim the batch start anew at `now`, so that not all nodes claim
+    /// it at once.
+    fn reopen_unless_completed(&mut self, now: Millis) {
+        if self.is_open() || self.is_certainly_completed(now) {
             return;
         }
         self.closed_at = None;
@@ -98,26 +101,29 @@
         self.owner = LeaseState::new(self.owner.holder().cloned(), now);
     }
 
-    /// Whether a closed batch was certainly done. Else its items were missing: nobody ever found them, or
-    /// the log had dropped them, which takes longer than any copy of a notice is late.
-    fn is_done_for_good(&self, now: Millis) -> bool {
+    /// Whether a closed batch was certainly completed or ended. Otherwise its items may have been missing: no
+    /// node ever found them, or the log has dropped them since. The log keeps records for longer than any
+    /// duplicate of a notice is delayed, so a second notice within [`MISSING_ITEMS_TIMEOUT_MS`] of the first is
+    /// such a duplicate, and a later one is a new submission.
+    fn is_certainly_completed(&self, now: Millis) -> bool {
         self.was_found && now.saturating_sub(self.first_seen) <= MISSING_ITEMS_TIMEOUT_MS
     }
 }
 
-/// The batches that are known.
+/// All batches that this node has read notices of.
 #[derive(Debug, Default)]
 pub struct BatchIndex {
     batches: BTreeMap<BatchId, IndexedBatch>,
+    /// Number of batches added so far.
     arrivals: u64,
 }
 
 impl BatchIndex {
-    /// A batch was accepted. A batch that is handed in again is the same one; it is open again if it
-    /// was taken for one that never came.
-    pub fn accepted(&mut self, notice: BatchNotice, now: Millis) {
+    /// Adds an accepted batch. A batch that is submitted again is the same batch; it is reopened if it was
+    /// closed because its items were missing.
+    pub fn add(&mut self, notice: BatchNotice, now: Millis) {
         if let Some(known) = self.batches.get_mut(&notice.batch) {
-            known.accepted_again(now);
+            known.reopen_unless_completed(now);
             return;
         }
         self.arrivals += 1;
@@ -132,18 +138,18 @@
         self.batches.insert(batch.notice.batch.clone(), batch);
     }
 
-    /// A node says that it runs these batches.
-    pub fn held(&mut self, node: &NodeId, batches: &[BatchId], now: Millis) {
+    /// Records that a node reports that it runs these batches. Batches that are not in the index are skipped.
+    pub fn record_heartbeat(&mut self, node: &NodeId, batches: &[BatchId], now: Millis) {
         for batch in batches {
             if let Some(known) = self.batches.get_mut(batch) {
-                known.owner.names_itself(node, now);
+                known.owner.set_reported_holder(node, now);
                 known.was_found = true;
             }
         }
     }
 
-    /// A node gives these batches up.
-    pub fn released(&mut self, node: &NodeId, batches: &[BatchId], now: Millis) {
+    /// Removes a node as the owner of these batches. A batch that another node has taken over keeps its owner.
+    pub fn release(&mut self, node: &NodeId, batches: &[BatchId], now: Millis) {
         for batch in batches {
             let known = self.batches.get_mut(batch);
             if let Some(known) = known.filter(|known| known.owner.is_held_by(node)) {
@@ -152,29 +158,29 @@
         }
     }
 
-    /// Nothing is left to be done about a batch.
-    pub fn closed(&mut self, batch: &BatchId, now: Millis) {
+    /// Marks a batch as closed: no work is left for it. The first time counts.
+    pub fn close(&mut self, batch: &BatchId, now: Millis) {
         if let Some(known) = self.batches.get_mut(batch) {
             known.closed_at.get_or_insert(now);
         }
     }
 
-    /// A batch by id.
+    /// Looks a batch up by its id.
     pub fn batch(&self, id: &BatchId) -> Option<&IndexedBatch> {
         self.batches.get(id)
     }
 
-    /// All batches, in the order of their ids.
+    /// Iterates over all batches, in the order of their ids.
     pub fn batches(&self) -> impl Iterator<Item = &IndexedBatch> {
         self.batches.values()
     }
 
-    /// Batches of which something is left to be done.
+    /// Iterates over the batches with work left.
     pub fn open(&self) -> impl Iterator<Item = &IndexedBatch> {
         self.batches.values().filter(|batch| batch.is_open())
     }
 
-    /// The batch of a model's newest training step.
+    /// Returns the batch of a model's newest training step; of several, the one accepted last.
     pub fn newest_of_model(&self, model: &ModelName) -> Option<&BatchNotice> {
         let of_model = self
             .batches
@@ -185,20 +191,23 @@
             .map(|batch| &batch.notice)
     }
 
-    /// The newest batches that were handed in like this one, itself among them: a later one may
-    /// carry items of an earlier one.
-    pub fn newest_of_same_trainer(&self, notice: &BatchNotice, most: usize) -> Vec<&BatchNotice> {
-        let mut alike: Vec<&IndexedBatch> = self
+    /// Returns the newest `limit` batches of the trainer that submitted `notice`, newest first, including the
+    /// batch itself if it is among them. A later batch may contain items of an earlier one.
+    pub fn newest_of_same_trainer(&self, notice: &BatchNotice, limit: usize) -> Vec<&BatchNotice> {
+        let mut same_trainer: Vec<&IndexedBatch> = self
             .batches
             .values()
-            .filter(|batch| is_alike(&batch.notice, notice))
+            .filter(|batch| is_of_same_trainer(&batch.notice, notice))
             .collect();
-        alike.sort_by_key(|batch| std::cmp::Reverse(batch.arrival));
-        alike.truncate(most);
-        alike.into_iter().map(|batch| &batch.notice).collect()
+        same_trainer.sort_by_key(|batch| std::cmp::Reverse(batch.arrival));
+        same_trainer.truncate(limit);
+        same_trainer
+            .into_iter()
+            .map(|batch| &batch.notice)
+            .collect()
     }
 
-    /// All batches, in the order they were accepted.
+    /// Returns the checkpoint entries of all batches, in the order they were accepted.
     pub fn checkpoint(&self) -> Vec<BatchCheckpoint> {
         let mut batches: Vec<&IndexedBatch> = self.batches.values().collect();
         batches.sort_by_key(|batch| batch.arrival);
@@ -210,18 +219,18 @@
         kept.collect()
     }
 
-    /// The batches that a node found in their partitions.
+    /// Returns the batches whose items a node has found in their partitions.
     pub fn found(&self) -> BTreeSet<BatchId> {
         let found = self.batches.iter().filter(|(_, batch)| batch.was_found);
         found.map(|(id, _)| id.clone()).collect()
     }
 
-    /// The index that a checkpoint tells of, seen now.
+    /// Restores the index from a checkpoint. All its times become `now`, since a checkpoint holds none.
     pub fn restored(batches: Vec<BatchCheckpoint>, found: &BTreeSet<BatchId>, now: Millis) -> Self {
         let mut index = Self::default();
         for batch in batches {
             let id = batch.notice.batch.clone();
-            index.accepted(batch.notice, now);
+            index.add(batch.notice, now);
             if let Some(known) = index.batches.get_mut(&id) {
                 known.owner = LeaseState::new(batch.owner, now);
                 known.closed_at = (!batch.is_open).then_some(now);
@@ -231,14 +240,14 @@
         index
     }
 
-    /// Forgets closed batches first heard of before `before`, so that memory stays bounded.
+    /// Removes closed batches first seen before `before`, so that memory stays bounded.
     pub fn forget_before(&mut self, before: Millis) {
         self.batches
             .retain(|_, batch| batch.is_open() || batch.first_seen >= before);
     }
 }
 
-/// Whether two batches belong to the same trainer.
-fn is_alike(left: &BatchNotice, right: &BatchNotice) -> bool {
+/// Whether two batches belong to the same trainer, which has one host and one model.
+fn is_of_same_trainer(left: &BatchNotice, right: &BatchNotice) -> bool {
     left.host == right.host && left.model == right.model
 }
--- a/crates/rollout/src/batch_state.rs
+++ b/crates/rollout/src/batch_state.rs
@@ -1,4 +1,4 @@
-//! A batch and its items as the records of the log tell of them.
+//! The state of a batch and its items, as the records of the log define it.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -9,39 +9,40 @@
 use crate::lease::LeaseState;
 use crate::record::{Outcome, OutputEvent};
 
-/// An item and what is kept of its output.
+/// An item and its output so far.
 #[derive(Debug, Clone)]
 pub struct ItemState {
-    /// Its id.
+    /// Unique within the batch.
     pub id: ItemId,
-    /// Its group, if it has one.
+    /// The group the item belongs to, if any.
     pub group: Option<GroupId>,
-    /// Tokens its output is expected to have.
+    /// Expected output length in tokens.
     pub expected_tokens: u32,
-    /// What it asks for; dropped once it is listed or its batch has ended.
+    /// The request, as submitted; `None` once the item has a result or its batch was ended by the client.
     pub spec: Option<Arc<Item>>,
-    /// Output so far, in order; dropped once the item is listed.
+    /// Output so far, in order; moved to the result or dropped once the item has one.
     pub events: Vec<OutputEvent>,
-    /// The run whose output stands last.
+    /// The run that generated the newest part of the output; `None` while there is no output.
     pub run: Option<RunId>,
-    /// All runs whose output ever counted. Each begins once, so that a late copy of the first record of
-    /// one whose output was dropped puts nothing back.
-    pub(crate) begun: Vec<RunId>,
-    /// Its result, once it is listed.
+    /// All runs whose output was ever applied. Each run may begin only once, so that a delayed duplicate of its
+    /// first record does not restore output that was dropped.
+    pub(crate) applied_runs: Vec<RunId>,
+    /// The final result; `None` until the item is finished. An item with a result is listed: it has a position
+    /// in [`BatchState::listed`].
     pub result: Option<ItemResult>,
 }
 
-/// What a listed item shows, for good.
+/// The final result of an item. It never changes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ItemResult {
-    /// How it ended.
+    /// Whether the item was completed or given up.
     pub outcome: Outcome,
-    /// Its output.
+    /// The whole output; empty if the item was given up.
     pub events: Vec<OutputEvent>,
 }
 
 impl ItemResult {
-    /// Data of all events, with line feeds between them.
+    /// Returns the data of all events, with line feeds between them.
     pub fn text(&self) -> Vec<u8> {
         let length: usize = self.events.iter().map(|event| event.data.len() + 1).sum();
         let mut text = Vec::with_capacity(length);
@@ -54,48 +55,50 @@
         text
     }
 
-    /// Versions that made the events.
+    /// Returns the versions of the weights that generated the events.
     pub fn versions(&self) -> BTreeSet<Version> {
         self.events.iter().map(|event| event.version).collect()
     }
 }
 
-/// A batch as the records tell of it.
+/// A batch and its items.
 #[derive(Debug, Clone)]
 pub struct BatchState {
-    /// Its id.
+    /// Chosen by the client.
     pub id: BatchId,
-    /// The tenant that it belongs to, if callers have keys.
+    /// The tenant that the batch belongs to; `None` if clients need no API keys.
     pub tenant: Option<TenantName>,
-    /// Host that selects its route.
+    /// Host that selects the batch's route.
     pub host: String,
-    /// Path that selects its route.
+    /// Path that selects the batch's route.
     pub path: String,
-    /// Training step, if any.
+    /// Training step; `None` if no trainer submitted the batch.
     pub step: Option<u64>,
-    /// Model, if any.
+    /// Model whose weights generate the output; `None` if the client named none.
     pub model: Option<ModelName>,
-    /// Oldest version that may make its tokens.
+    /// Oldest version of the weights that may generate any token of the output.
     pub minimum_version: Version,
-    /// Whole groups the trainer waits for.
+    /// Number of complete groups the trainer waits for.
     pub desired_groups: u32,
-    /// Its items, in the order handed in.
+    /// All items, in the order submitted.
     pub items: Vec<ItemState>,
-    /// Positions of `items` in the order they were listed.
+    /// Positions in `items` of the items with a result, in the order in which they got it. Clients read results
+    /// in this order.
     pub listed: Vec<usize>,
-    /// Whether the caller has ended it.
+    /// Whether the client has ended the batch.
     pub ended: bool,
-    /// When this node first saw it.
+    /// When this node read that the batch was submitted, on this node's clock.
     pub first_seen: Millis,
-    /// When this node first saw that nothing was left to be done.
+    /// When this node read that no work was left for the batch; `None` while the batch is open.
     pub closed_at: Option<Millis>,
-    /// Who runs its items.
+    /// The lease on the batch. Its holder runs the items.
     pub lease: LeaseState,
+    /// Position in `items` of each item.
     pub(crate) index: HashMap<ItemId, usize>,
 }
 
 impl BatchState {
-    /// A batch as it was handed in.
+    /// Creates the state of a newly submitted batch.
     pub(crate) fn new(
         submission: &Submission,
         tenant: Option<TenantName>,
@@ -127,23 +130,23 @@
         }
     }
 
-    /// An item by id.
+    /// Looks an item up by its id.
     pub fn item(&self, id: &ItemId) -> Option<&ItemState> {
         self.index.get(id).map(|at| &self.items[*at])
     }
 
-    /// Whether nothing is left to be done.
+    /// Whether no work is left: the client has ended the batch or every item has a result.
     pub fn is_closed(&self) -> bool {
         self.ended || self.is_fully_listed()
     }
 
-    /// Whether every item is listed, so that no record can add a result. An end alone doesn't say that:
-    /// results that were on their way are listed behind it.
+    /// Whether every item has a result, so that no record can add one. That the client has ended the batch does
+    /// not imply this: results that were in flight at that time are still listed.
     pub fn is_fully_listed(&self) -> bool {
         self.listed.len() == self.items.len()
     }
 
-    /// Items at the listed positions from `from` on.
+    /// Iterates over the results in the order they were listed, skipping the first `from`.
     pub fn results_from(&self, from: usize) -> impl Iterator<Item = (&ItemId, &ItemResult)> {
         self.listed.iter().skip(from).filter_map(|at| {
             let item = &self.items[*at];
@@ -151,14 +154,14 @@
         })
     }
 
-    /// Notes the time at which nothing was left to be done.
-    pub(crate) fn note_if_closed(&mut self, now: Millis) {
+    /// Sets `closed_at` if no work is left and it is not set yet.
+    pub(crate) fn update_closed_at(&mut self, now: Millis) {
         if self.closed_at.is_none() && self.is_closed() {
             self.closed_at = Some(now);
         }
     }
 
-    /// Its caller has ended it.
+    /// Marks the batch as ended by its client and drops the requests of its items.
     pub(crate) fn end(&mut self) {
         self.ended = true;
         for item in &mut self.items {
@@ -175,7 +178,7 @@
         spec: Some(item.clone()),
         events: Vec::new(),
         run: None,
-        begun: Vec::new(),
+        applied_runs: Vec::new(),
         result: None,
     }
 }
--- a/crates/rollout/src/checkpoint.rs
+++ b/crates/rollout/src/checkpoint.rs
@@ -1,12 +1,12 @@
-//! What the control stream said up to an offset, so that a node that starts reads this and the rest
-//! instead of all records that are kept.
+//! Checkpoints of the control stream. A checkpoint holds the state up to an offset, so that a node that starts
+//! reads the checkpoint and the later records instead of all records in the log.
 //!
-//! Times are left out: whoever takes a checkpoint up has seen its content at that moment, as if it had
-//! read all records then.
+//! A checkpoint holds no times of a node's clock. A node that loads it treats its content as read at that
+//! moment.
 //!
-//! Nodes of several versions of the program read each other's checkpoints while a release goes on. New
-//! fields stand behind all others, where an older reader passes them over; a checkpoint without them is
-//! read as the first form.
+//! During a rolling upgrade, nodes of different releases read each other's checkpoints. New fields are appended
+//! behind all others, where an older reader skips them. A newer reader takes the missing fields of an older
+//! checkpoint as empty.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -23,59 +23,59 @@
 use crate::stored::{Stored, UnreadableValue};
 use crate::usage::DecidedUsage;
 
-/// Number of the present form of checkpoints; rises with each field that is added.
+/// Version of the current checkpoint format. It rises with each field that is added.
 pub const FORMAT_VERSION: u8 = 7;
-/// Number of the oldest form that names its number. Each one since has one more list at its end: the requests
-/// under which back ends ended, the decided windows of usage, the ordered sizes, the addresses of nodes that run
+/// The oldest format that stores its version. Each later version has one more list at the end: the requests
+/// during which back ends ended, the decided windows of usage, the ordered sizes, the addresses of nodes that run
 /// batches, the addresses of other machines.
-const SECOND_FORM: u8 = 2;
-/// An empty list, as it is encoded.
+const OLDEST_VERSIONED_FORMAT: u8 = 2;
+/// The encoding of an empty list: its length, 0.
 const ENCODED_EMPTY_LIST: u8 = 0;
-/// Number of the form that does not name its number.
-const FIRST_FORM: u8 = 1;
+/// The first format, which does not store its version.
+const UNVERSIONED_FORMAT: u8 = 1;
 
-/// The fold of the control stream up to an offset.
+/// The state that the records of the control stream up to an offset define.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlCheckpoint {
-    /// Offset of the first record that is not in it.
+    /// Offset of the first record that is not covered.
     pub next: u64,
-    /// Machines that announced that a node started there.
+    /// Machines that wrote a record that a node started there.
     pub machines: BTreeSet<MachineName>,
     /// Batches, in the order they were accepted.
     pub batches: Vec<BatchCheckpoint>,
-    /// Term of the lease for orders.
+    /// Current term of the order lease.
     pub term: Term,
-    /// Its holder, if there is one.
+    /// Holder of the order lease; `None` if it was released or never claimed.
     pub holder: Option<NodeId>,
-    /// Orders of which nothing was heard yet.
+    /// Pending orders: the model and the version to load.
     pub pending: BTreeMap<BackendId, (ModelName, Version)>,
     /// The last orders of each back end, oldest first.
     pub last_orders: Vec<OrderTime>,
-    /// Time that has certainly passed between the first record and this offset.
+    /// Lower bound of the time between the first record and this offset, in milliseconds.
     pub log_time: Millis,
-    /// [`FORMAT_VERSION`] of the node that wrote it. What stands from here on is not in the first form.
+    /// [`FORMAT_VERSION`] of the node that wrote the checkpoint. This field and all below are not in format 1.
     pub form: u8,
-    /// Those of the last orders behind which no sign of life stands yet.
+    /// Those of the last orders that no heartbeat of a lease holder follows yet.
     pub unsigned_orders: BTreeSet<(BackendId, MachineName)>,
-    /// Newest version of each model that each back end was seen to have.
+    /// Newest version of each model that each back end was observed to serve.
     pub newest: BTreeMap<(BackendId, ModelName), Version>,
-    /// Batches that a node found in their partitions.
+    /// Batches whose items a node has found in their partitions.
     pub found: BTreeSet<BatchId>,
-    /// Requests under which back ends ended. Not in the second form.
+    /// Requests during which back ends ended. Not in format 2.
     pub crashes: Vec<CrashCheckpoint>,
-    /// Windows of usage that were decided. Not in the third form.
+    /// Windows of usage that were decided. Not in format 3.
     pub usage: Vec<DecidedUsage>,
-    /// Sizes of pools that were ordered. Not in the fourth form.
+    /// Last ordered sizes of pools. Not in format 4.
     pub sizes: OrderedSizes,
-    /// Addresses at which nodes that run batches answer others. Not in the fifth form.
+    /// Addresses at which nodes that run batches accept requests of other nodes. Not in format 5.
     pub peers: Vec<PeerAddress>,
-    /// Where some machines can be reached. Not in the sixth form.
+    /// Addresses at which some machines can be reached. Not in format 6.
     pub reachable: ReachableAddresses,
 }
 
-/// The fold as it was kept first: what all forms begin with.
+/// Format 1, which is also the beginning of all later formats.
 #[derive(Deserialize)]
-struct FirstForm {
+struct UnversionedCheckpoint {
     next: u64,
     machines: BTreeSet<MachineName>,
     batches: Vec<BatchCheckpoint>,
@@ -86,34 +86,34 @@
     log_time: Millis,
 }
 
-impl FirstForm {
-    /// Reads a checkpoint that has this form and nothing behind it: a longer one that is cut off is not
-    /// taken for it.
-    fn read_whole(bytes: &[u8]) -> Option<Self> {
-        let (form, rest) = postcard::take_from_bytes(bytes).ok()?;
-        rest.is_empty().then_some(form)
+impl UnversionedCheckpoint {
+    /// Decodes a checkpoint of format 1 with no bytes behind it, so that a truncated checkpoint of a later format
+    /// is not mistaken for one of format 1.
+    fn decode_exact(bytes: &[u8]) -> Option<Self> {
+        let (checkpoint, rest) = postcard::take_from_bytes(bytes).ok()?;
+        rest.is_empty().then_some(checkpoint)
     }
 }
 
-impl From<FirstForm> for ControlCheckpoint {
-    /// Its orders have times of the signs in front of them, which are too early. They are taken for
-    /// orders without a sign behind them, so that a holder waits longer rather than less. What late copies
-    /// may not change is not known from it.
-    fn from(form: FirstForm) -> Self {
-        let orders = form.last_orders.iter();
+impl From<UnversionedCheckpoint> for ControlCheckpoint {
+    /// In format 1, the time of an order is that of the last heartbeat before it, which is too early. Such orders
+    /// are read as orders without a heartbeat after them, so that a lease holder waits longer rather than
+    /// shorter. Format 1 lacks the observed versions and found batches by which delayed duplicates are ignored.
+    fn from(old: UnversionedCheckpoint) -> Self {
+        let orders = old.last_orders.iter();
         let unsigned_orders = orders
             .map(|order| (order.backend.clone(), order.machine.clone()))
             .collect();
         Self {
-            next: form.next,
-            machines: form.machines,
-            batches: form.batches,
-            term: form.term,
-            holder: form.holder,
-            pending: form.pending,
-            last_orders: form.last_orders,
-            log_time: form.log_time,
-            form: FIRST_FORM,
+            next: old.next,
+            machines: old.machines,
+            batches: old.batches,
+            term: old.term,
+            holder: old.holder,
+            pending: old.pending,
+            last_orders: old.last_orders,
+            log_time: old.log_time,
+            form: UNVERSIONED_FORMAT,
             unsigned_orders,
             newest: BTreeMap::new(),
             found: BTreeSet::new(),
@@ -129,23 +129,23 @@
 /// A batch in a checkpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BatchCheckpoint {
-    /// What was told when it was accepted.
+    /// The notice that was written when the batch was accepted.
     pub notice: BatchNotice,
-    /// The node that last said that it runs the batch.
+    /// The node that last reported that it runs the batch; `None` if it has released the batch.
     pub owner: Option<NodeId>,
-    /// Whether something is left to be done.
+    /// Whether work is left for the batch.
     pub is_open: bool,
 }
 
 /// When a machine gave a back end its last order.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderTime {
-    /// The back end.
+    /// The back end that got the order.
     pub backend: BackendId,
-    /// The machine.
+    /// The machine of the lease holder that gave it.
     pub machine: MachineName,
-    /// The first sign of life behind it, or the last one if there is none yet, in time that certainly
-    /// passed in the log.
+    /// [`ControlCheckpoint::log_time`] at the first heartbeat of a lease holder after the order, or at the last
+    /// heartbeat before the checkpoint if there is none after the order; in milliseconds.
     pub log_time: Millis,
 }
 
@@ -155,22 +155,25 @@
     fn decode(bytes: &[u8]) -> Result<Self, UnreadableValue> {
         let whole = postcard::from_bytes(bytes);
         whole.or_else(|source| {
-            let first_form = || FirstForm::read_whole(bytes).map(Self::from);
+            let unversioned = || UnversionedCheckpoint::decode_exact(bytes).map(Self::from);
             let unreadable = || UnreadableValue::new(Self::DESCRIPTION, source);
-            read_shorter_form(bytes)
-                .or_else(first_form)
+            decode_older_version(bytes)
+                .or_else(unversioned)
                 .ok_or_else(unreadable)
         })
     }
 }
 
-/// Reads a form that names its number, which is the present one without its last lists.
-fn read_shorter_form(bytes: &[u8]) -> Option<ControlCheckpoint> {
-    (SECOND_FORM..FORMAT_VERSION).rev().find_map(|form| {
-        let mut completed = bytes.to_vec();
-        let missing = usize::from(FORMAT_VERSION - form);
-        completed.extend(std::iter::repeat_n(ENCODED_EMPTY_LIST, missing));
-        let checkpoint: ControlCheckpoint = postcard::from_bytes(&completed).ok()?;
-        (checkpoint.form == form).then_some(checkpoint)
-    })
+/// Decodes an older format that stores its version. It is the current format without the last lists, so each
+/// missing list is added as an empty one.
+fn decode_older_version(bytes: &[u8]) -> Option<ControlCheckpoint> {
+    (OLDEST_VERSIONED_FORMAT..FORMAT_VERSION)
+        .rev()
+        .find_map(|version| {
+            let mut completed = bytes.to_vec();
+            let missing = usize::from(FORMAT_VERSION - version);
+            completed.extend(std::iter::repeat_n(ENCODED_EMPTY_LIST, missing));
+            let checkpoint: ControlCheckpoint = postcard::from_bytes(&completed).ok()?;
+            (checkpoint.form == version).then_some(checkpoint)
+        })
 }
--- a/crates/rollout/src/control.rs
+++ b/crates/rollout/src/control.rs
@@ -1,8 +1,9 @@
-//! The stream that every node reads: which batches there are and who runs them, who gives orders to
-//! back ends, and which orders are under way.
+//! The state that every node builds from the control stream: which batches there are and which node runs each,
+//! which node may give orders to back ends, and which orders are pending. An order tells a back end to load
+//! a version of a model.
 //!
-//! One node holds the lease for orders. It writes an order down before it gives it, so that its
-//! successor knows when the last one can have been given.
+//! One node holds the order lease and gives the orders. It appends each order to the log before it sends it, so
+//! that its successor knows the latest time at which the back end can have received one.
 
 use std::collections::BTreeMap;
 
@@ -20,45 +21,48 @@
 use crate::sizing::OrderedSizes;
 use crate::usage::UsageLedger;
 
-/// An order of which nothing was heard yet.
+/// A pending order: the log holds neither its result nor its withdrawal.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PendingOrder {
-    /// The model.
+    /// The model whose weights are to be loaded.
     pub model: ModelName,
-    /// The version.
+    /// The version to load.
     pub version: Version,
-    /// When it was first seen in the log.
+    /// When this node read the order, on this node's clock.
     pub since: Millis,
 }
 
-/// A version that a back end was seen to have.
+/// A version that a back end was observed to serve.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ObservedVersion {
-    /// The back end.
+    /// The back end that was polled.
     pub backend: BackendId,
-    /// The model.
+    /// The model that the back end serves.
     pub model: ModelName,
-    /// The version.
+    /// The version that the back end has loaded.
     pub version: Version,
 }
 
-/// What the control stream tells.
+/// The fold over the records of the control stream.
 #[derive(Debug)]
 pub struct ControlState {
     own_machine: MachineName,
-    /// Machines on which a node ever started, as far as they announced themselves.
+    /// Machines on which a node has started, as far as these nodes wrote a record of it.
     fleet: FleetSize,
     index: BatchIndex,
-    serving: BTreeMap<String, Serving>,
+    /// The node that runs the batches of each route, by the name of the route.
+    serving: BTreeMap<String, RouteServer>,
+    /// The order lease.
     lease: LeaseState,
     pending: BTreeMap<BackendId, PendingOrder>,
-    /// Newest version of each model that each back end was seen to have. Within a life of a back end,
-    /// which its id stands for, versions only rise.
+    /// Newest version of each model that each back end was observed to serve. A back end id stands for one
+    /// incarnation, in which versions only rise.
     newest: BTreeMap<(BackendId, ModelName), Version>,
-    /// New entries of `newest` that were not taken yet.
+    /// New entries of `newest` that [`Self::take_observed`] has not returned yet.
     observed: Vec<ObservedVersion>,
     last_orders: LastOrders,
-    /// Time that has certainly passed between the first record and the newest.
+    /// Lower bound of the time that has passed between the first and the newest record, in milliseconds: the sum
+    /// of the times between heartbeats of lease holders.
     log_time: Millis,
     crashes: CrashLedger,
     usage: UsageLedger,
@@ -67,15 +71,15 @@
     reachable: ReachableMachines,
 }
 
-/// The node that last told that it runs batches of a route.
+/// The node that last reported that it runs batches of a route.
 #[derive(Debug, Clone)]
-struct Serving {
+struct RouteServer {
     node: NodeId,
-    seen: Millis,
+    last_seen: Millis,
 }
 
 impl ControlState {
-    /// No orders yet, as the machine `own_machine` sees it.
+    /// Creates the state before the first record, for a node on machine `own_machine`.
     pub fn new(own_machine: MachineName) -> Self {
         Self {
             crashes: CrashLedger::new(own_machine.clone()),
@@ -96,7 +100,8 @@
         }
     }
 
-    /// The state up to `next`, without the times at which this node saw it.
+    /// Creates a checkpoint of the state up to offset `next`, without the times at which this node read the
+    /// records.
     pub fn checkpoint(&self, next: u64) -> ControlCheckpoint {
         let pending = self.pending.iter();
         let last_orders = self.last_orders.all().map(|(backend, order)| OrderTime {
@@ -104,8 +109,8 @@
             machine: order.machine.clone(),
             log_time: order.log_time.unwrap_or(self.log_time),
         });
-        let unsigned = self.last_orders.all();
-        let unsigned = unsigned.filter(|(_, order)| order.log_time.is_none());
+        let without_heartbeat = self.last_orders.all();
+        let without_heartbeat = without_heartbeat.filter(|(_, order)| order.log_time.is_none());
         ControlCheckpoint {
             next,
             machines: self.fleet.machines().clone(),
@@ -118,7 +123,7 @@
             last_orders: last_orders.collect(),
             log_time: self.log_time,
             form: FORMAT_VERSION,
-            unsigned_orders: unsigned
+            unsigned_orders: without_heartbeat
                 .map(|(backend, order)| (backend.clone(), order.machine.clone()))
                 .collect(),
             newest: self.newest.clone(),
@@ -131,7 +136,8 @@
         }
     }
 
-    /// The state that a checkpoint tells of, seen now by the machine `own_machine`.
+    /// Restores the state from a checkpoint, for a node on machine `own_machine`. All records count as read at
+    /// `now`.
     pub fn restored(own_machine: MachineName, checkpoint: ControlCheckpoint, now: Millis) -> Self {
         let mut state = Self::new(own_machine);
         for machine in checkpoint.machines {
@@ -156,19 +162,19 @@
         }
         for order in checkpoint.last_orders {
             let key = (order.backend, order.machine);
-            let is_signed = !checkpoint.unsigned_orders.contains(&key);
+            let has_heartbeat = !checkpoint.unsigned_orders.contains(&key);
             let (backend, machine) = key;
             let last = LastOrder {
                 machine,
                 read_at: now,
-                log_time: is_signed.then_some(order.log_time),
+                log_time: has_heartbeat.then_some(order.log_time),
             };
-            state.last_orders.given(&backend, last);
+            state.last_orders.record_order(&backend, last);
         }
         state
     }
 
-    /// Takes the next record.
+    /// Applies the next record of the stream, read at `now` on this node's clock.
     pub fn apply(&mut self, record: ControlRecord, now: Millis) {
         match record {
             ControlRecord::Joined { machine } => self.fleet.joined(machine),
@@ -177,21 +183,21 @@
                 routes,
                 batches,
             } => {
-                self.index.held(&node, &batches, now);
+                self.index.record_heartbeat(&node, &batches, now);
                 self.peers.lives(&node, now);
                 for route in routes {
-                    let serving = Serving {
+                    let server = RouteServer {
                         node: node.clone(),
-                        seen: now,
+                        last_seen: now,
                     };
-                    self.serving.insert(route, serving);
+                    self.serving.insert(route, server);
                 }
             }
-            ControlRecord::BatchAccepted(notice) => self.index.accepted(notice, now),
+            ControlRecord::BatchAccepted(notice) => self.index.add(notice, now),
             ControlRecord::BatchesReleased { node, batches } => {
-                self.index.released(&node, &batches, now)
+                self.index.release(&node, &batches, now)
             }
-            ControlRecord::BatchClosed { batch } => self.index.closed(&batch, now),
+            ControlRecord::BatchClosed { batch } => self.index.close(&batch, now),
             ControlRecord::LeaseClaimed { term, holder } => {
                 self.lease.claim(term, holder, now);
             }
@@ -200,9 +206,9 @@
                 holder,
                 after_ms,
             } => {
-                if self.lease.keep(term, &holder, now) {
+                if self.lease.renew(term, &holder, now) {
                     self.log_time += after_ms;
-                    self.last_orders.signed(self.log_time);
+                    self.last_orders.record_heartbeat(self.log_time);
                 }
             }
             ControlRecord::LeaseReleased { term } => {
@@ -214,25 +220,26 @@
                 model,
                 version,
             } => {
-                // A late copy counts here too: too long a wait breaks no rule.
-                let given = LastOrder {
+                // A delayed duplicate counts here too: it only lengthens the wait of other lease holders, which
+                // is safe.
+                let last = LastOrder {
                     machine: holder.machine,
                     read_at: now,
                     log_time: None,
                 };
-                self.last_orders.given(&backend, given);
+                self.last_orders.record_order(&backend, last);
                 let order = PendingOrder {
                     model,
                     version,
                     since: now,
                 };
-                self.ordered(backend, order);
+                self.apply_order(backend, order);
             }
             ControlRecord::Observed {
                 backend,
                 model,
                 version,
-            } => self.observed(backend, model, version),
+            } => self.apply_observation(backend, model, version),
             ControlRecord::Withdrawn { backend } => {
                 self.pending.remove(&backend);
             }
@@ -257,9 +264,9 @@
         }
     }
 
-    /// An order is under way unless its record is a late copy: then the back end was seen with its
-    /// version, or a newer order is under way.
-    fn ordered(&mut self, backend: BackendId, order: PendingOrder) {
+    /// Marks an order as pending, unless its record is a delayed duplicate: then the back end was already
+    /// observed with this version or a newer one, or an order for a newer version is pending.
+    fn apply_order(&mut self, backend: BackendId, order: PendingOrder) {
         let key = (backend, order.model.clone());
         let newest = self.newest.get(&key);
         let is_done = newest.is_some_and(|newest| *newest >= order.version);
@@ -272,9 +279,10 @@
         }
     }
 
-    /// A back end was seen to have a version. One that is not newer than those seen before may be a late
-    /// copy and changes nothing: an order that was not taken is withdrawn.
-    fn observed(&mut self, backend: BackendId, model: ModelName, version: Version) {
+    /// Records the version that a back end was observed to serve, and that the pending order for its model is
+    /// done. A version that is not newer than those observed before may come from a delayed duplicate and
+    /// changes nothing; an order that the back end did not carry out ends with [`ControlRecord::Withdrawn`].
+    fn apply_observation(&mut self, backend: BackendId, model: ModelName, version: Version) {
         let key = (backend, model);
         let newest = self.newest.get(&key);
         if newest.is_some_and(|newest| *newest >= version) {
@@ -282,8 +290,8 @@
         }
         self.newest.insert(key.clone(), version);
         let (backend, model) = key;
-        let is_about_it = |order: &PendingOrder| order.model == model;
-        if self.pending.get(&backend).is_some_and(is_about_it) {
+        let is_for_model = |order: &PendingOrder| order.model == model;
+        if self.pending.get(&backend).is_some_and(is_for_model) {
             self.pending.remove(&backend);
         }
         self.observed.push(ObservedVersion {
@@ -293,106 +301,114 @@
         });
     }
 
-    /// The batches there are.
+    /// The index of all batches.
     pub fn index(&self) -> &BatchIndex {
         &self.index
     }
 
-    /// Addresses at which nodes that run batches answer others.
+    /// Addresses at which nodes that run batches accept requests of other nodes.
     pub fn peers(&self) -> &PeerAddresses {
         &self.peers
     }
 
-    /// Forgets batches first heard of before `before`, and addresses of nodes not heard of since.
+    /// Removes closed batches first seen before `before`, and addresses of nodes without a heartbeat since then.
     pub fn forget_batches_before(&mut self, before: Millis) {
         self.index.forget_before(before);
         self.peers.forget_before(before);
     }
 
-    /// Requests under which back ends ended.
+    /// Requests during which back ends ended.
     pub fn crashes(&self) -> &CrashLedger {
         &self.crashes
     }
 
-    /// The same, for what this node saw itself and has yet to tell the others.
+    /// The same, to add what this node observed itself and has not written to the log yet.
     pub fn crashes_mut(&mut self) -> &mut CrashLedger {
         &mut self.crashes
     }
 
-    /// Windows of usage that were decided.
+    /// Time windows whose usage to report has been fixed.
     pub fn usage(&self) -> &UsageLedger {
         &self.usage
     }
 
-    /// Sizes that were ordered last.
+    /// The last ordered size of each pool in each zone.
     pub fn sizes(&self) -> &OrderedSizes {
         &self.sizes
     }
 
-    /// Where other machines can be reached.
+    /// Addresses at which other machines receive datagrams.
     pub fn reachable(&self) -> &ReachableMachines {
         &self.reachable
     }
 
-    /// Machines that announced themselves.
+    /// Number of machines that wrote a record that a node started there.
     pub fn machine_count(&self) -> usize {
         self.fleet.machines().len()
     }
 
-    /// How many machines there are, and which announcements are wanted.
+    /// Estimate of the number of machines, and which machines are to write that they joined.
     pub fn fleet(&self) -> &FleetSize {
         &self.fleet
     }
 
-    /// The node that runs batches of a route, if it said so since `since`.
+    /// Returns the node that runs batches of a route; `None` if its last heartbeat for the route was read before
+    /// `since`.
     pub fn serving(&self, route: &str, since: Millis) -> Option<&NodeId> {
-        let serving = self.serving.get(route)?;
-        (serving.seen >= since).then_some(&serving.node)
+        let server = self.serving.get(route)?;
+        (server.last_seen >= since).then_some(&server.node)
     }
 
-    /// Who gives orders.
+    /// The order lease, whose holder gives orders to back ends.
     pub fn lease(&self) -> &LeaseState {
         &self.lease
     }
 
-    /// Versions that were newly observed since the last call.
+    /// Returns the versions that were newly observed since the last call.
     pub fn take_observed(&mut self) -> Vec<ObservedVersion> {
         std::mem::take(&mut self.observed)
     }
 
-    /// The order a back end is carrying out.
+    /// Returns the pending order of a back end.
     pub fn pending(&self, backend: &BackendId) -> Option<&PendingOrder> {
         self.pending.get(backend)
     }
 
-    /// Back ends that are carrying out an order.
+    /// Iterates over the back ends with a pending order.
     pub fn all_pending(&self) -> impl Iterator<Item = (&BackendId, &PendingOrder)> {
         self.pending.iter()
     }
 
-    /// Time that has certainly passed since another machine gave a back end an order; `None` if none
-    /// did. A reader that has just started reads old orders only now, but the signs of life behind
-    /// them tell how old they are at least: the first one only that it is younger, each further one by
-    /// the time since the one before.
+    /// Returns a lower bound of the time since another machine last gave a back end an order, in milliseconds;
+    /// `None` if no other machine did.
+    ///
+    /// A node that has just started reads old orders only now, but the heartbeats of the lease holder after an
+    /// order show its minimum age. The first heartbeat after the order adds nothing, since part of the time that
+    /// it covers may have passed before the order. Each further heartbeat adds the time since the previous one.
     pub fn ms_since_order_by_other_machine(
         &self,
         backend: &BackendId,
         now: Millis,
     ) -> Option<Millis> {
-        let seen = self.last_orders.of_another(backend, &self.own_machine)?;
-        let by_own_clock = now.saturating_sub(seen.read_at);
-        let by_the_log = seen.log_time.map_or(0, |signed| self.log_time - signed);
-        Some(by_own_clock.max(by_the_log))
+        let last = self
+            .last_orders
+            .by_other_machine(backend, &self.own_machine)?;
+        let by_own_clock = now.saturating_sub(last.read_at);
+        let by_log_time = last
+            .log_time
+            .map_or(0, |heartbeat| self.log_time - heartbeat);
+        Some(by_own_clock.max(by_log_time))
     }
 
-    /// This machine was suspended for so long, which its clock counts in all that is told here as now. What is owed to
-    /// other machines' orders is waited for all the same: only time in which this machine ran, or that the log tells of,
-    /// has certainly passed for everybody.
+    /// Excludes a suspension of this machine, in milliseconds, from [`Self::ms_since_order_by_other_machine`]. This
+    /// machine's clock includes the suspension, so every later `now` is ahead by it. The wait after orders of other
+    /// machines must not be shortened: only time in which this machine ran, or that heartbeats in the log cover, has
+    /// certainly passed for all nodes.
     pub fn exclude_suspended_time(&mut self, suspended_ms: Millis) {
-        self.last_orders.clock_leapt(suspended_ms);
+        self.last_orders.shift_read_times(suspended_ms);
     }
 
-    /// Forgets back ends that `keep` does not name.
+    /// Removes the orders and observed versions of back ends for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(&BackendId) -> bool) {
         self.pending.retain(|backend, _| keep(backend));
         self.newest.retain(|(backend, _), _| keep(backend));
--- a/crates/rollout/src/last_orders.rs
+++ b/crates/rollout/src/last_orders.rs
@@ -1,74 +1,81 @@
-//! When each back end was last given an order, and by which machine.
+//! The last orders that each back end was given, with their times and the machines that gave them.
 
 use std::collections::BTreeMap;
 
 use crate::Millis;
 use crate::ids::{BackendId, MachineName};
 
-/// Machines that are kept for each back end: whichever of them asks, one of another machine is there.
-const KEPT_MACHINES: usize = 2;
+/// Machines whose last order is stored for each back end. With two, there is always an order of a machine other
+/// than the one that asks, if another machine gave one.
+const MAX_MACHINES_PER_BACKEND: usize = 2;
 
 /// The last order that a machine gave a back end.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LastOrder {
-    /// The machine.
+    /// The machine of the lease holder that gave the order.
     pub machine: MachineName,
-    /// When this node read of it, on its own clock; later by the time in which its machine was suspended since.
+    /// When this node read the order, on its own clock, plus the time for which its machine was suspended since
+    /// then.
     pub read_at: Millis,
-    /// The first sign of life behind it, in time that certainly passed in the log; `None` until there is
-    /// one. Time between two signs counts only if the order stands in front of both.
+    /// Log time at the first heartbeat of a lease holder after the order; `None` until there is one. The log time
+    /// is the sum of the times between heartbeats. The time between two heartbeats has certainly passed since the
+    /// order only if the order precedes both.
     pub log_time: Option<Millis>,
 }
 
-/// Orders to all lives of a back end count together: what two holders owe to it does not end with one of
-/// its lives.
-fn without_life(backend: &BackendId) -> BackendId {
+/// Removes the start time from a back end id, so that orders to all incarnations of a back end count together: the
+/// minimum time between orders of two lease holders also holds if the back end restarts in between.
+fn without_start_time(backend: &BackendId) -> BackendId {
     BackendId::from(backend.name())
 }
 
-/// The last orders of the two machines that gave each back end one most recently.
+/// For each back end, the last orders of the two machines that most recently gave it one, newest first.
 #[derive(Debug, Default)]
 pub struct LastOrders {
     by_backend: BTreeMap<BackendId, Vec<LastOrder>>,
 }
 
 impl LastOrders {
-    /// A back end was given an order.
-    pub fn given(&mut self, backend: &BackendId, order: LastOrder) {
-        let orders = self.by_backend.entry(without_life(backend)).or_default();
+    /// Records that a back end was given an order.
+    pub fn record_order(&mut self, backend: &BackendId, order: LastOrder) {
+        let orders = self
+            .by_backend
+            .entry(without_start_time(backend))
+            .or_default();
         orders.retain(|known| known.machine != order.machine);
         orders.insert(0, order);
-        orders.truncate(KEPT_MACHINES);
+        orders.truncate(MAX_MACHINES_PER_BACKEND);
     }
 
-    /// A sign of life stands at `log_time`, behind all orders so far.
-    pub fn signed(&mut self, log_time: Millis) {
+    /// Records a heartbeat of a lease holder at `log_time`, in milliseconds, after all orders so far.
+    pub fn record_heartbeat(&mut self, log_time: Millis) {
         for order in self.by_backend.values_mut().flatten() {
             order.log_time.get_or_insert(log_time);
         }
     }
 
-    /// The reader's clock counts a span of time in which its machine was suspended.
-    pub fn clock_leapt(&mut self, leap_ms: Millis) {
+    /// Moves the read times of all orders forward by a time, in milliseconds, for which this node's machine was
+    /// suspended, because the node's clock includes that time.
+    pub fn shift_read_times(&mut self, suspended_ms: Millis) {
         for order in self.by_backend.values_mut().flatten() {
-            order.read_at += leap_ms;
+            order.read_at += suspended_ms;
         }
     }
 
-    /// The last order that a machine other than `own` gave a back end.
-    pub fn of_another(&self, backend: &BackendId, own: &MachineName) -> Option<&LastOrder> {
-        let orders = self.by_backend.get(&without_life(backend))?;
+    /// Returns the last order that a machine other than `own` gave a back end.
+    pub fn by_other_machine(&self, backend: &BackendId, own: &MachineName) -> Option<&LastOrder> {
+        let orders = self.by_backend.get(&without_start_time(backend))?;
         orders.iter().find(|order| order.machine != *own)
     }
 
-    /// All that is kept, oldest first for each back end.
+    /// Iterates over all stored orders, oldest first for each back end.
     pub fn all(&self) -> impl Iterator<Item = (&BackendId, &LastOrder)> {
         let backends = self.by_backend.iter();
         backends
             .flat_map(|(backend, orders)| orders.iter().rev().map(move |order| (backend, order)))
     }
 
-    /// Forgets back ends that `keep` does not name.
+    /// Removes the orders of back ends for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(&BackendId) -> bool) {
         self.by_backend.retain(|backend, _| keep(backend));
     }
--- a/crates/rollout/src/lease.rs
+++ b/crates/rollout/src/lease.rs
@@ -1,41 +1,42 @@
-//! Leases kept in a log. The log's order decides who holds one: a claim counts only if its term is
-//! higher than the current one, so of several claims of a term the first wins, and a claim that is
-//! appended late changes nothing.
+//! Leases that are stored in a log. The order of the log decides which node holds a lease: a claim counts only
+//! if its term is higher than the current one. So of several claims of one term the first in the log wins, and a
+//! claim that is appended with a delay changes nothing.
 //!
-//! Time never decides who the holder is. It decides when others claim: after they have seen no sign
-//! of the holder for a while, on their own steady clocks, and in a log that they have read to its
-//! end.
+//! Time does not decide which node is the holder. It only decides when other nodes claim the lease: after they
+//! have read no heartbeat of the holder for some time, by their own monotonic clocks, in a log that they have
+//! read to its end.
 
 use crate::Millis;
 use crate::ids::NodeId;
 
-/// Number of a holder's turn; rises with each new holder.
+/// Number of a period in which one node holds the lease. It rises with each new holder and is the lease's
+/// fencing token.
 pub type Term = u64;
 
-/// A lease as a reader of the log sees it.
+/// The state of a lease, as a reader of the log computes it.
 #[derive(Debug, Clone, Default)]
 pub struct LeaseState {
     term: Term,
     holder: Option<NodeId>,
-    seen: Millis,
+    last_seen: Millis,
 }
 
 impl LeaseState {
-    /// A lease that starts with a holder, or without one.
+    /// Creates a lease in term 0, with or without a holder.
     pub fn new(holder: Option<NodeId>, now: Millis) -> Self {
         Self {
             term: 0,
             holder,
-            seen: now,
+            last_seen: now,
         }
     }
 
-    /// A lease as a checkpoint tells of it.
+    /// Restores a lease from a checkpoint, as if a heartbeat had been read at `now`.
     pub fn restored(term: Term, holder: Option<NodeId>, now: Millis) -> Self {
         Self {
             term,
             holder,
-            seen: now,
+            last_seen: now,
         }
     }
 
@@ -44,69 +45,73 @@
         self.term
     }
 
-    /// The holder, if there is one.
+    /// The node that holds the lease; `None` if it was released or never claimed.
     pub fn holder(&self) -> Option<&NodeId> {
         self.holder.as_ref()
     }
 
-    /// When a sign of the holder was last seen.
+    /// When this reader last read a claim, a heartbeat or the release of the holder, on its own clock.
     pub fn last_seen(&self) -> Millis {
-        self.seen
+        self.last_seen
     }
 
-    /// Whether a node holds it.
+    /// Whether `node` holds the lease.
     pub fn is_held_by(&self, node: &NodeId) -> bool {
         self.holder.as_ref() == Some(node)
     }
 
-    /// Takes a claim; answers whether it counts: a claimant names the term after the newest that it
-    /// knows, so of several claims of a term the first counts, and a late one does not.
+    /// Applies a claim and returns whether it counts. A node claims the term after the newest one that it has
+    /// read, so of several claims of one term the first counts, and a delayed one does not.
     pub fn claim(&mut self, term: Term, holder: NodeId, now: Millis) -> bool {
         let counts = term > self.term;
         if counts {
             *self = Self {
                 term,
                 holder: Some(holder),
-                seen: now,
+                last_seen: now,
             };
         }
         counts
     }
 
-    /// Takes a sign of life; answers whether it counts. One of a later term than known is from a
-    /// holder whose claim lies before the oldest record that is kept.
-    pub fn keep(&mut self, term: Term, holder: &NodeId, now: Millis) -> bool {
+    /// Applies a heartbeat and returns whether it counts. A heartbeat of a later term than the current one is from
+    /// a holder whose claim is no longer in the log, and counts as a claim too.
+    pub fn renew(&mut self, term: Term, holder: &NodeId, now: Millis) -> bool {
         if term > self.term {
             return self.claim(term, holder.clone(), now);
         }
         let counts = term == self.term && self.is_held_by(holder);
         if counts {
-            self.seen = now;
+            self.last_seen = now;
         }
         counts
     }
 
-    /// Takes a node's word that it is the holder, where who holds the lease is decided elsewhere.
-    pub fn names_itself(&mut self, holder: &NodeId, now: Millis) {
+    /// Sets the holder that a node reports itself to be, without a change of term. This is for copies of a lease
+    /// that another part of the log decides.
+    pub fn set_reported_holder(&mut self, holder: &NodeId, now: Millis) {
         if !self.is_held_by(holder) {
             self.holder = Some(holder.clone());
         }
-        self.seen = now;
+        self.last_seen = now;
     }
 
-    /// Takes a release; answers whether it counts.
+    /// Applies a release and returns whether it counts: it does if it names the current term and the lease is
+    /// held.
     pub fn release(&mut self, term: Term, now: Millis) -> bool {
         let counts = term == self.term && self.holder.is_some();
         if counts {
             self.holder = None;
-            self.seen = now;
+            self.last_seen = now;
         }
         counts
     }
 
-    /// When `node` may claim the lease, unless a sign of its holder is seen before. The log has been
-    /// readable without a gap since `readable_since`: in a gap, silence says nothing. An earlier life of
-    /// the same machine is known to be gone, and needs no silence.
+    /// Returns the time at which `node` may claim the lease, unless it reads a heartbeat of the holder before.
+    ///
+    /// `readable_since` is the time since which `node` has read the log without interruption. While the log
+    /// cannot be read, missing heartbeats do not show that the holder is gone. If the holder is an earlier
+    /// incarnation on the same machine as `node`, it is known to be gone, so `node` need not wait.
     pub fn claimable_at(
         &self,
         node: &NodeId,
@@ -115,18 +120,19 @@
     ) -> Millis {
         match &self.holder {
             Some(holder) if holder == node => Millis::MAX,
-            Some(holder) if holder.machine == node.machine => self.seen,
-            Some(_) => self.seen.max(readable_since) + timing.silence_ms + timing.spread_ms,
-            None => self.seen + timing.spread_ms / 2,
+            Some(holder) if holder.machine == node.machine => self.last_seen,
+            Some(_) => self.last_seen.max(readable_since) + timing.silence_ms + timing.spread_ms,
+            None => self.last_seen + timing.spread_ms / 2,
         }
     }
 }
 
-/// When a lease may be claimed.
+/// The delays before a node claims a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClaimTiming {
-    /// Time without a sign of the holder.
+    /// Time without a heartbeat of the holder after which the lease may be claimed, in milliseconds.
     pub silence_ms: Millis,
-    /// A node's own delay besides, so that nodes don't all claim at once.
+    /// Additional delay of this node in milliseconds. It differs between nodes, so that they don't all claim at
+    /// once. A lease without a holder is claimed after half of it.
     pub spread_ms: Millis,
 }
--- a/crates/rollout/tests/batch_index.rs
+++ b/crates/rollout/tests/batch_index.rs
@@ -1,4 +1,5 @@
-//! The index of batches: who runs which, and what is known of them without reading them.
+//! The index of batches: which node runs each batch, and which facts are available without reading the batch's
+//! partition.
 
 mod support;
 
@@ -13,7 +14,7 @@
     BatchNotice::of(&submission, owner)
 }
 
-fn open(index: &BatchIndex) -> Vec<&str> {
+fn open_ids(index: &BatchIndex) -> Vec<&str> {
     index
         .open()
         .map(|batch| batch.notice.batch.as_str())
@@ -21,52 +22,52 @@
 }
 
 #[test]
-fn a_notice_tells_the_work_of_a_batch() {
+fn a_notice_sums_up_the_items_of_a_batch() {
     let notice = notice("batch", 3, None);
     assert_eq!((notice.items, notice.expected_tokens), (2, 42));
     assert_eq!((notice.step, notice.minimum_version), (Some(3), 2));
 }
 
 #[test]
-fn a_batch_that_is_handed_in_again_keeps_its_owner() {
+fn an_open_batch_that_is_submitted_again_keeps_its_owner() {
     let mut index = BatchIndex::default();
-    index.accepted(notice("batch", 1, Some(node("a", 1))), 10);
-    index.accepted(notice("batch", 1, Some(node("b", 1))), 20);
+    index.add(notice("batch", 1, Some(node("a", 1))), 10);
+    index.add(notice("batch", 1, Some(node("b", 1))), 20);
     let batch = index.batch(&BatchId::from("batch")).unwrap();
     assert!(batch.owner.is_held_by(&node("a", 1)));
     assert_eq!(batch.first_seen, 10);
 }
 
-/// A batch that was closed because its items never came is open again when they come after all.
+/// A batch that was closed because its items were missing is reopened when it is submitted again.
 #[test]
-fn a_batch_that_is_handed_in_again_is_open_again() {
+fn a_closed_batch_that_is_submitted_again_is_reopened() {
     let mut index = BatchIndex::default();
-    index.accepted(notice("batch", 1, None), 10);
-    index.closed(&BatchId::from("batch"), 20);
-    assert!(open(&index).is_empty());
-    index.accepted(notice("batch", 1, None), 30);
-    assert_eq!(open(&index), ["batch"]);
+    index.add(notice("batch", 1, None), 10);
+    index.close(&BatchId::from("batch"), 20);
+    assert!(open_ids(&index).is_empty());
+    index.add(notice("batch", 1, None), 30);
+    assert_eq!(open_ids(&index), ["batch"]);
 }
 
-/// A batch that never came was handed in again and opened. A node that had read the notice but not yet the
-/// batch's partition took it at once for one that never came, as its first notice was long ago, and closed it
-/// for all.
+/// Guards against closing a reopened batch too early. A batch whose items had been missing was submitted again and
+/// reopened. A node that had read the second notice but not yet the batch's partition counted the time since the
+/// first notice, found the items missing for too long, and closed the batch for all nodes.
 #[test]
-fn a_batch_that_is_open_again_has_its_whole_time_to_come() {
+fn a_reopened_batch_gets_the_full_timeout_for_its_items() {
     let mut index = BatchIndex::default();
     let batch = BatchId::from("batch");
-    index.accepted(notice("batch", 1, None), 10);
-    index.closed(&batch, 10 + MISSING_ITEMS_TIMEOUT_MS);
-    index.accepted(notice("batch", 1, None), 20_000);
+    index.add(notice("batch", 1, None), 10);
+    index.close(&batch, 10 + MISSING_ITEMS_TIMEOUT_MS);
+    index.add(notice("batch", 1, None), 20_000);
     assert_eq!(index.batch(&batch).unwrap().first_seen, 20_000);
 }
 
 #[test]
-fn the_owner_is_the_node_that_last_said_so() {
+fn the_owner_is_the_node_with_the_newest_heartbeat() {
     let mut index = BatchIndex::default();
     let batch = BatchId::from("batch");
-    index.accepted(notice("batch", 1, Some(node("a", 1))), 10);
-    index.held(
+    index.add(notice("batch", 1, Some(node("a", 1))), 10);
+    index.record_heartbeat(
         &node("b", 1),
         &[batch.clone(), BatchId::from("unknown")],
         50,
@@ -76,52 +77,55 @@
     assert_eq!(owner.last_seen(), 50);
 }
 
-/// A node that was replaced gives up what is no longer its own.
+/// A node that has been replaced as the owner may still release the batch; that must not affect the new owner.
 #[test]
-fn only_the_owner_can_give_a_batch_up() {
+fn only_the_owner_can_release_a_batch() {
     let mut index = BatchIndex::default();
     let batch = BatchId::from("batch");
-    index.accepted(notice("batch", 1, Some(node("a", 1))), 10);
-    index.released(&node("b", 1), std::slice::from_ref(&batch), 20);
+    index.add(notice("batch", 1, Some(node("a", 1))), 10);
+    index.release(&node("b", 1), std::slice::from_ref(&batch), 20);
     assert!(index.batch(&batch).unwrap().owner.is_held_by(&node("a", 1)));
-    index.released(&node("a", 1), std::slice::from_ref(&batch), 30);
+    index.release(&node("a", 1), std::slice::from_ref(&batch), 30);
     assert_eq!(index.batch(&batch).unwrap().owner.holder(), None);
 }
 
 #[test]
-fn a_trainers_newest_batches_are_found_without_reading_them() {
+fn the_newest_batches_of_a_trainer_are_found_by_their_notices() {
     let mut index = BatchIndex::default();
     for (step, name) in ["first", "second", "third"].iter().enumerate() {
-        index.accepted(notice(name, step as u64, None), 10);
+        index.add(notice(name, step as u64, None), 10);
     }
-    let mut of_another = notice("other", 9, None);
-    of_another.model = Some(ModelName::from("another"));
-    index.accepted(of_another.clone(), 10);
-    let alike = index.newest_of_same_trainer(&notice("third", 2, None), 2);
-    let names: Vec<&str> = alike.iter().map(|notice| notice.batch.as_str()).collect();
+    let mut other_model = notice("other", 9, None);
+    other_model.model = Some(ModelName::from("another"));
+    index.add(other_model.clone(), 10);
+    let same_trainer = index.newest_of_same_trainer(&notice("third", 2, None), 2);
+    let names: Vec<&str> = same_trainer
+        .iter()
+        .map(|notice| notice.batch.as_str())
+        .collect();
     assert_eq!(names, ["third", "second"]);
     let newest = index.newest_of_model(&ModelName::from("model")).unwrap();
     assert_eq!(newest.batch, BatchId::from("third"));
-    let model = of_another.model.unwrap();
+    let model = other_model.model.unwrap();
     assert_eq!(index.newest_of_model(&model).unwrap().step, Some(9));
 }
 
 #[test]
-fn batches_past_their_retention_are_forgotten() {
+fn closed_batches_past_their_retention_are_removed() {
     let mut index = BatchIndex::default();
-    index.accepted(notice("old", 1, None), 10);
-    index.accepted(notice("old and open", 1, None), 10);
-    index.accepted(notice("new", 2, None), 90);
-    index.accepted(notice("new and closed", 2, None), 90);
-    index.closed(&BatchId::from("old"), 20);
-    index.closed(&BatchId::from("new and closed"), 95);
+    index.add(notice("old", 1, None), 10);
+    index.add(notice("old and open", 1, None), 10);
+    index.add(notice("new", 2, None), 90);
+    index.add(notice("new and closed", 2, None), 90);
+    index.close(&BatchId::from("old"), 20);
+    index.close(&BatchId::from("new and closed"), 95);
     index.forget_before(50);
     let known: Vec<&str> = index
         .batches()
         .map(|batch| batch.notice.batch.as_str())
         .collect();
     assert_eq!(known, ["new", "new and closed", "old and open"]);
-    index.closed(&BatchId::from("old and open"), 100);
+    index.close(&BatchId::from("old and open"), 100);
     index.forget_before(50);
     assert!(index.batch(&BatchId::from("old and open")).is_none());
 }
--- a/crates/rollout/tests/control.rs
+++ b/crates/rollout/tests/control.rs
@@ -1,4 +1,5 @@
-//! What the control stream tells: when a new holder may order, and who serves which route.
+//! The state of the control stream: how long a new holder of the order lease must wait after orders of others,
+//! which orders are pending, which node heartbeat which route, and checkpoints of all this.
 
 mod support;
 
@@ -17,7 +18,7 @@
     ModelName::from(name)
 }
 
-fn kept(machine: &str, term: u64, after_ms: u64) -> ControlRecord {
+fn lease_heartbeat(machine: &str, term: u64, after_ms: u64) -> ControlRecord {
     ControlRecord::LeaseKept {
         term,
         holder: node(machine, 1),
@@ -54,10 +55,10 @@
     );
 }
 
-/// A node that has just started reads all records at once. The first sign behind an order tells nothing
-/// of its age: part of the time that it tells of passed before the order.
+/// A node that has just started reads all records at once. The first heartbeat after an order says nothing about
+/// the order's age, since part of the time that it covers passed before the order.
 #[test]
-fn signs_of_life_behind_an_order_tell_its_age() {
+fn heartbeats_after_an_order_show_its_age() {
     let mut state = ControlState::new(MachineName::from("a"));
     state.apply(
         ControlRecord::LeaseClaimed {
@@ -66,41 +67,41 @@
         },
         1_000,
     );
-    state.apply(kept("b", 1, 0), 1_000);
+    state.apply(lease_heartbeat("b", 1, 0), 1_000);
     state.apply(ordered("b", "x"), 1_000);
     for _ in 0..10 {
-        state.apply(kept("b", 1, 300), 1_000);
+        state.apply(lease_heartbeat("b", 1, 300), 1_000);
     }
-    state.apply(kept("a", 0, 9_000), 1_000);
+    state.apply(lease_heartbeat("a", 0, 9_000), 1_000);
     assert_eq!(
         state.ms_since_order_by_other_machine(&backend("x"), 1_000),
         Some(2_700)
     );
 }
 
-/// A holder that was told to stop gave an order 250 ms after a sign of life and 50 ms before the next one.
-/// Its successor ordered the same engine 2.968 s later, where 3.0 s must pass: it took the whole 300 ms
-/// between the two signs for time that had passed since the order.
+/// Guards against two orders too close to each other: a holder that was stopping gave an order 250 ms after one
+/// heartbeat and 50 ms before the next. Its successor gave the same engine an order 2.968 s later, although 3.0 s
+/// must pass, because it counted the whole 300 ms between the two heartbeats as time since the first order.
 #[test]
-fn time_since_an_order_begins_at_the_first_sign_of_life_behind_it() {
+fn time_since_an_order_begins_at_the_first_heartbeat_after_it() {
     let mut state = ControlState::new(MachineName::from("a"));
     let claimed = ControlRecord::LeaseClaimed {
         term: 1,
         holder: node("b", 1),
     };
-    for record in [claimed, kept("b", 1, 0), ordered("b", "x")] {
+    for record in [claimed, lease_heartbeat("b", 1, 0), ordered("b", "x")] {
         state.apply(record, 1_000);
     }
     assert_eq!(
         state.ms_since_order_by_other_machine(&backend("x"), 1_000),
         Some(0)
     );
-    state.apply(kept("b", 1, 300), 1_000);
+    state.apply(lease_heartbeat("b", 1, 300), 1_000);
     assert_eq!(
         state.ms_since_order_by_other_machine(&backend("x"), 1_000),
         Some(0)
     );
-    state.apply(kept("b", 1, 300), 1_000);
+    state.apply(lease_heartbeat("b", 1, 300), 1_000);
     assert_eq!(
         state.ms_since_order_by_other_machine(&backend("x"), 1_000),
         Some(300)
@@ -108,7 +109,7 @@
 }
 
 #[test]
-fn an_order_is_pending_until_its_back_end_was_asked() {
+fn an_order_is_pending_until_its_back_end_is_observed() {
     let mut state = ControlState::new(MachineName::from("a"));
     state.apply(ordered("b", "x"), 10);
     state.apply(ordered("b", "y"), 10);
@@ -137,24 +138,24 @@
 }
 
 #[test]
-fn a_route_is_served_by_the_node_that_last_said_so() {
+fn a_route_is_served_by_the_node_with_its_newest_heartbeat() {
     let mut state = ControlState::new(MachineName::from("a"));
-    let serves = |machine: &str, routes: &[&str]| ControlRecord::Heartbeat {
+    let heartbeat = |machine: &str, routes: &[&str]| ControlRecord::Heartbeat {
         node: node(machine, 1),
         routes: routes.iter().map(|route| (*route).to_owned()).collect(),
         batches: Vec::new(),
     };
-    state.apply(serves("b", &["r", "s"]), 100);
-    state.apply(serves("c", &["r"]), 200);
+    state.apply(heartbeat("b", &["r", "s"]), 100);
+    state.apply(heartbeat("c", &["r"]), 200);
     assert_eq!(state.serving("r", 150), Some(&node("c", 1)));
     assert_eq!(state.serving("s", 100), Some(&node("b", 1)));
-    assert_eq!(state.serving("s", 101), None, "it said so too long ago");
+    assert_eq!(state.serving("s", 101), None, "its heartbeat is too old");
     assert_eq!(state.serving("t", 0), None);
 }
 
-/// A machine that starts again and again is one machine that reads.
+/// A machine whose node restarts repeatedly is still one machine.
 #[test]
-fn machines_are_counted_once() {
+fn a_machine_that_joins_repeatedly_is_counted_once() {
     let mut state = ControlState::new(MachineName::from("a"));
     for machine in ["a", "b", "a", "c", "a"] {
         let machine = MachineName::from(machine);
@@ -174,7 +175,7 @@
     SocketAddr::from(([10, 0, 0, 1], life as u16))
 }
 
-/// Records of a while in which a node and its successor gave orders and ran batches.
+/// Records of a period in which a node and its successor gave orders and ran batches.
 fn history() -> Vec<ControlRecord> {
     let notice = |batch: &str| {
         let submission = submission(batch, vec![item("one", "g", 10)]);
@@ -184,7 +185,7 @@
         term,
         holder: node(machine, 1),
     };
-    let serves = |machine: &str, batch: &str| ControlRecord::Heartbeat {
+    let heartbeat = |machine: &str, batch: &str| ControlRecord::Heartbeat {
         node: node(machine, 1),
         routes: Vec::new(),
         batches: vec![BatchId::from(batch)],
@@ -194,11 +195,11 @@
             machine: MachineName::from("b"),
         },
         claimed(1, "b"),
-        kept("b", 1, 300),
+        lease_heartbeat("b", 1, 300),
         notice("first"),
         ordered("b", "x"),
         ordered("b", "y"),
-        kept("b", 1, 300),
+        lease_heartbeat("b", 1, 300),
         ControlRecord::Observed {
             backend: backend("x"),
             model: model("m"),
@@ -206,28 +207,28 @@
         },
         claimed(2, "c"),
         notice("second"),
-        serves("c", "first"),
+        heartbeat("c", "first"),
         ordered("c", "x"),
-        kept("c", 2, 400),
+        lease_heartbeat("c", 2, 400),
         ControlRecord::BatchClosed {
             batch: BatchId::from("first"),
         },
         ordered("b", "z"),
         listens("c", 1),
-        kept("c", 2, 300),
+        lease_heartbeat("c", 2, 300),
     ]
 }
 
-/// Wherever a checkpoint is taken, what a reader knows that starts from it and reads the rest is what
-/// it would know from all records, whichever machine it is.
+/// At whichever offset a checkpoint is taken, a reader that starts from it and reads the later records has the
+/// same state as a reader of all records, on any machine.
 #[test]
-fn a_checkpoint_and_the_rest_tell_what_all_records_tell() {
+fn a_checkpoint_and_the_later_records_give_the_state_of_all_records() {
     let records = history();
     for own in ["a", "b", "c"] {
         let own = MachineName::from(own);
-        let mut whole = ControlState::new(own.clone());
+        let mut full = ControlState::new(own.clone());
         for record in &records {
-            whole.apply(record.clone(), 1_000);
+            full.apply(record.clone(), 1_000);
         }
         for at in 0..=records.len() {
             let mut before = ControlState::new(MachineName::from("writer"));
@@ -240,12 +241,12 @@
             for record in &records[at..] {
                 state.apply(record.clone(), 1_000);
             }
-            assert_eq!(state.checkpoint(0), whole.checkpoint(0), "taken at {at}");
+            assert_eq!(state.checkpoint(0), full.checkpoint(0), "taken at {at}");
             for backend in ["x", "y", "z"].map(backend) {
                 let quiet_ms = state.ms_since_order_by_other_machine(&backend, 1_000);
                 assert_eq!(
                     quiet_ms,
-                    whole.ms_since_order_by_other_machine(&backend, 1_000),
+                    full.ms_since_order_by_other_machine(&backend, 1_000),
                     "taken at {at}"
                 );
             }
@@ -254,15 +255,15 @@
 }
 
 #[test]
-fn a_checkpoint_that_is_cut_off_is_refused() {
+fn a_truncated_checkpoint_is_rejected() {
     let written = ControlState::new(MachineName::from("a"))
         .checkpoint(9)
         .encode();
     assert!(ControlCheckpoint::decode(&written[..written.len() - 1]).is_err());
 }
 
-/// The fields of a checkpoint that were kept first, as an older node writes and reads them.
-type FirstForm = (
+/// The fields of checkpoint format 1, as an older node writes and reads them.
+type UnversionedCheckpoint = (
     u64,
     BTreeSet<MachineName>,
     Vec<BatchCheckpoint>,
@@ -281,12 +282,12 @@
     state.checkpoint(16)
 }
 
-/// While a release goes on, the holder may be of the older version and the node that starts of the newer.
-/// Such a checkpoint has the times of the signs in front of its orders.
+/// During a rolling upgrade, the lease holder may run the older release and the node that starts the newer one.
+/// A checkpoint of format 1 stores for each order the time of the last heartbeat before it, which is too early.
 #[test]
-fn orders_of_an_older_checkpoint_count_from_the_first_sign_that_is_read() {
+fn orders_of_a_format_1_checkpoint_count_from_the_first_heartbeat_that_is_read() {
     let new = checkpoint_of_history();
-    let old: FirstForm = (
+    let old: UnversionedCheckpoint = (
         new.next,
         new.machines,
         new.batches,
@@ -300,12 +301,12 @@
     let read = ControlCheckpoint::decode(&written).unwrap();
     assert_eq!((read.next, &read.batches), (16, &old.2));
     let mut state = ControlState::restored(MachineName::from("a"), read, 1_000);
-    state.apply(kept("c", 2, 300), 1_000);
+    state.apply(lease_heartbeat("c", 2, 300), 1_000);
     assert_eq!(
         state.ms_since_order_by_other_machine(&backend("x"), 1_000),
         Some(0)
     );
-    state.apply(kept("c", 2, 300), 1_000);
+    state.apply(lease_heartbeat("c", 2, 300), 1_000);
     assert_eq!(
         state.ms_since_order_by_other_machine(&backend("x"), 1_000),
         Some(300)
@@ -314,19 +315,18 @@
 }
 
 #[test]
-fn an_older_node_reads_what_it_knows_of_a_newer_checkpoint() {
+fn an_older_node_reads_the_fields_it_knows_of_a_newer_checkpoint() {
     let new = checkpoint_of_history();
-    let old: FirstForm = postcard::from_bytes(&new.encode()).unwrap();
+    let old: UnversionedCheckpoint = postcard::from_bytes(&new.encode()).unwrap();
     assert_eq!(
         (old.0, old.2, old.6),
         (new.next, new.batches, new.last_orders)
     );
 }
 
-/// A node of the build before reads all but the addresses, which stand behind the rest; its own checkpoints,
-/// which end before them, are read here.
+/// A checkpoint of a release that had fewer fields ends before the missing ones, and must still be read.
 #[test]
-fn a_checkpoint_of_the_build_before_is_read_without_addresses() {
+fn a_checkpoint_of_an_older_release_is_read_without_addresses() {
     let mut old = checkpoint_of_history();
     old.form = 5;
     old.peers = Vec::new();
@@ -337,21 +337,21 @@
 }
 
 #[test]
-fn the_address_of_a_nodes_newest_life_counts_as_long_as_it_lives() {
+fn the_address_of_a_nodes_newest_incarnation_counts_until_its_heartbeats_are_too_old() {
     let mut state = ControlState::new(MachineName::from("a"));
-    let lives = |life| ControlRecord::Heartbeat {
+    let heartbeat = |life| ControlRecord::Heartbeat {
         node: node("b", life),
         routes: Vec::new(),
         batches: Vec::new(),
     };
-    state.apply(lives(1), 1_000);
+    state.apply(heartbeat(1), 1_000);
     assert_eq!(state.peers().of(&node("b", 1)), None);
     state.apply(listens("b", 1), 1_000);
-    state.apply(lives(1), 2_000);
+    state.apply(heartbeat(1), 2_000);
     let told = state.peers().of(&node("b", 1));
     assert_eq!(told, Some((address_of(1), 2_000)));
     state.apply(listens("b", 2), 3_000);
-    state.apply(lives(1), 4_000);
+    state.apply(heartbeat(1), 4_000);
     assert_eq!(state.peers().of(&node("b", 1)), None);
     let told = state.peers().of(&node("b", 2));
     assert_eq!(told, Some((address_of(2), 3_000)));
@@ -359,10 +359,10 @@
     assert_eq!(state.peers().of(&node("b", 2)), None);
 }
 
-/// Guards against orders of two holders to one back end: the second one's clock had leapt by a suspension, and told that
-/// the first one's order was long past.
+/// Guards against orders of two lease holders to one back end at the same time: the machine of the second holder was
+/// suspended, its clock included the suspension, and so the first holder's order seemed to be long past.
 #[test]
-fn time_in_which_the_machine_was_suspended_makes_no_order_older() {
+fn suspended_time_does_not_add_to_the_age_of_an_order() {
     let mut state = ControlState::new(MachineName::from("a"));
     state.apply(ordered("b", "x"), 20);
     assert_eq!(
--- a/crates/rollout/tests/fold.rs
+++ b/crates/rollout/tests/fold.rs
@@ -1,4 +1,4 @@
-//! The fold of a partition: what counts of repeated, late and competing records.
+//! The fold over a partition: which of duplicate, delayed and competing records it applies.
 
 mod support;
 
@@ -15,7 +15,7 @@
     state
 }
 
-fn texts(state: &PartitionState) -> Vec<String> {
+fn output_texts(state: &PartitionState) -> Vec<String> {
     let batch = state.batch(&BatchId::from("batch")).unwrap();
     let item = batch.item(&ItemId::from("item")).unwrap();
     let events = item
@@ -29,10 +29,10 @@
 }
 
 #[test]
-fn a_batch_is_taken_once() {
+fn a_second_submission_of_a_batch_is_ignored() {
     let mut state = state_with_item();
-    let again = submitted("batch", vec![item("other", "group", 10)], None);
-    assert_eq!(state.apply(again, 5), FoldOutcome::Ignored);
+    let second = submitted("batch", vec![item("other", "group", 10)], None);
+    assert_eq!(state.apply(second, 5), FoldOutcome::Ignored);
     let batch = state.batch(&BatchId::from("batch")).unwrap();
     assert_eq!(batch.items.len(), 1);
     assert!(batch.lease.is_held_by(&node("a", 1)));
@@ -44,11 +44,11 @@
     let record = progress(1, 0, 0, &["one", "two"]);
     assert_eq!(state.apply(record.clone(), 1), FoldOutcome::Applied);
     assert_eq!(state.apply(record, 2), FoldOutcome::Ignored);
-    assert_eq!(texts(&state), ["one", "two"]);
+    assert_eq!(output_texts(&state), ["one", "two"]);
 }
 
-/// An owner that was replaced wakes and writes down what it made: nothing of it may be joined to
-/// what the new owner's run made.
+/// Guards against mixed output: an owner that was replaced resumes and appends output of its own run. None of it
+/// may be joined to the output of the new owner's run.
 #[test]
 fn outputs_of_two_runs_are_never_joined() {
     let mut state = state_with_item();
@@ -62,12 +62,13 @@
         state.apply(progress(1, 0, 2, &["three of the first"]), 4),
         FoldOutcome::Ignored
     );
-    assert_eq!(texts(&state), ["one", "two of the second"]);
+    assert_eq!(output_texts(&state), ["one", "two of the second"]);
 }
 
-/// The first run's late record fits by its count alone; it was not asked to go on from there.
+/// The record of the third run starts at the current number of events, but the run resumed from fewer events, so
+/// its output does not continue the stored output.
 #[test]
-fn a_run_may_only_go_on_from_where_it_was_resumed() {
+fn a_run_may_only_continue_from_the_position_it_resumed_from() {
     let mut state = state_with_item();
     state.apply(progress(1, 0, 0, &["one", "two"]), 1);
     state.apply(progress(2, 2, 2, &["three of the second"]), 2);
@@ -75,11 +76,11 @@
         state.apply(progress(3, 1, 3, &["four of a third"]), 3),
         FoldOutcome::Ignored
     );
-    assert_eq!(texts(&state), ["one", "two", "three of the second"]);
+    assert_eq!(output_texts(&state), ["one", "two", "three of the second"]);
 }
 
 #[test]
-fn an_end_counts_only_for_the_output_that_stands_there() {
+fn a_finish_counts_only_for_the_stored_output() {
     let mut state = state_with_item();
     state.apply(progress(1, 0, 0, &["one"]), 1);
     assert_eq!(state.apply(finished(1, 0, 2), 2), FoldOutcome::Ignored);
@@ -91,7 +92,7 @@
 }
 
 #[test]
-fn a_run_that_found_nothing_more_may_end_the_output() {
+fn a_resumed_run_that_adds_no_output_may_finish_the_item() {
     let mut state = state_with_item();
     state.apply(progress(1, 0, 0, &["one"]), 1);
     assert_eq!(state.apply(finished(2, 1, 1), 2), FoldOutcome::Applied);
@@ -102,7 +103,7 @@
     let mut state = state_with_item();
     state.apply(progress(1, 0, 0, &["one"]), 1);
     state.apply(finished(1, 0, 1), 2);
-    let before = texts(&state);
+    let before = output_texts(&state);
     state.apply(progress(1, 0, 1, &["two"]), 3);
     let given_up = BatchRecord::Finished {
         batch: BatchId::from("batch"),
@@ -113,11 +114,11 @@
         outcome: Outcome::GivenUp(GiveUpReason::TooLate),
     };
     assert_eq!(state.apply(given_up, 4), FoldOutcome::Ignored);
-    assert_eq!(texts(&state), before);
+    assert_eq!(output_texts(&state), before);
 }
 
 #[test]
-fn an_ended_batch_keeps_what_is_listed_and_drops_bodies() {
+fn ending_a_batch_closes_it_and_drops_its_requests() {
     let mut state = state_with_item();
     let ended = BatchRecord::Ended {
         batch: BatchId::from("batch"),
@@ -129,7 +130,8 @@
     assert!(batch.item(&ItemId::from("item")).unwrap().spec.is_none());
 }
 
-/// Two owners that each append every record up to twice, in their own order, interleaved at will.
+/// Records of two owners that each append their records in order, some of them several times, in an arbitrary
+/// interleaving.
 fn two_owners() -> impl Strategy<Value = Vec<BatchRecord>> {
     let first = vec![
         progress(1, 0, 0, &["a1", "a2"]),
@@ -161,27 +163,27 @@
 
 proptest! {
     #[test]
-    fn any_interleaving_gives_the_output_of_one_lineage(records in two_owners()) {
+    fn any_interleaving_gives_the_output_of_one_chain_of_runs(records in two_owners()) {
         let mut state = state_with_item();
         let mut longest: Vec<String> = Vec::new();
         for (now, record) in records.into_iter().enumerate() {
             state.apply(record, now as u64);
-            let texts = texts(&state);
+            let texts = output_texts(&state);
             prop_assert!(texts.starts_with(&longest), "{longest:?} became {texts:?}");
             longest = texts;
         }
-        let whole = ["a1 a2 a3 a4", "a1 a2 b3 b4 b5"];
-        let made = longest.join(" ");
-        prop_assert!(whole.iter().any(|whole| whole.starts_with(&made)), "{made}");
+        let complete = ["a1 a2 a3 a4", "a1 a2 b3 b4 b5"];
+        let output = longest.join(" ");
+        prop_assert!(complete.iter().any(|text| text.starts_with(&output)), "{output}");
         let batch = state.batch(&BatchId::from("batch")).unwrap();
         if !batch.listed.is_empty() {
-            prop_assert!(whole.contains(&made.as_str()), "{made} is listed");
+            prop_assert!(complete.contains(&output.as_str()), "{output} is listed");
         }
     }
 }
 
 #[test]
-fn dropped_output_is_begun_anew_and_a_late_copy_drops_nothing() {
+fn dropped_output_is_replaced_and_a_delayed_duplicate_drops_nothing() {
     let mut state = state_with_item();
     state.apply(progress(1, 0, 0, &["old"]), 1);
     let restarted = BatchRecord::Restarted {
@@ -197,14 +199,14 @@
     );
     state.apply(progress(2, 0, 0, &["new"]), 4);
     assert_eq!(state.apply(restarted, 5), FoldOutcome::Ignored);
-    assert_eq!(texts(&state), ["new"]);
+    assert_eq!(output_texts(&state), ["new"]);
 }
 
-/// An item whose result must come from one version was begun anew because that version was gone. The copy of
-/// its first record of output came seconds late and put the dropped output back, so that the output of the
-/// run that had begun anew did not count.
+/// Guards against lost output: an item whose result must come from one version of the weights was restarted
+/// because no back end had that version any more. A duplicate of its first progress record, seconds late, restored
+/// the dropped output, so that the output of the new run was ignored.
 #[test]
-fn a_late_copy_of_dropped_output_puts_nothing_back() {
+fn a_delayed_duplicate_does_not_restore_dropped_output() {
     let mut state = state_with_item();
     let first = progress(1, 0, 0, &["old"]);
     state.apply(first.clone(), 1);
@@ -217,12 +219,13 @@
     state.apply(restarted, 2);
     assert_eq!(state.apply(first, 3), FoldOutcome::Ignored);
     state.apply(progress(2, 0, 0, &["new"]), 4);
-    assert_eq!(texts(&state), ["new"]);
+    assert_eq!(output_texts(&state), ["new"]);
 }
 
-/// Positions are promised until a time after a batch was handed in, and as long as it is open.
+/// Clients may read results by position as long as a batch is open, and until its retention since the submission
+/// is over.
 #[test]
-fn only_closed_batches_are_forgotten() {
+fn only_closed_batches_past_their_retention_are_removed() {
     let mut state = state_with_item();
     state.forget_before(1_000);
     assert!(state.batch(&BatchId::from("batch")).is_some(), "it is open");
@@ -237,10 +240,10 @@
     assert!(state.batch(&BatchId::from("batch")).is_none());
 }
 
-/// A batch whose records were missed may lie in the log for as long as batches are promised: the gap counts
-/// until then, also when nothing is kept of the partition.
+/// A batch whose records were missed may be in the log until its retention is over. Until then the state must
+/// report missed records, even if it holds no batch.
 #[test]
-fn a_gap_counts_until_batches_handed_in_before_it_are_past_their_retention() {
+fn missed_records_are_reported_until_the_retention_of_earlier_batches_is_over() {
     let mut state = state_with_item();
     assert!(!state.has_missed_records());
     state.drop_incomplete_batches(1_000);
@@ -248,14 +251,14 @@
     assert!(state.has_missed_records());
     state.forget_before(1_000);
     assert!(state.has_missed_records(), "its retention is not over");
-    assert!(!state.is_older_than(1_000), "it may not be forgotten yet");
+    assert!(!state.is_older_than(1_000), "it may not be removed yet");
     assert!(state.is_older_than(1_001));
     state.forget_before(1_001);
     assert!(!state.has_missed_records());
 }
 
 #[test]
-fn a_batch_handed_in_after_a_gap_is_kept() {
+fn a_batch_submitted_after_missed_records_is_kept() {
     let mut state = state_with_item();
     state.drop_incomplete_batches(1_000);
     let record = submitted("later", vec![item("item", "group", 10)], None);
--- a/crates/rollout/tests/late_copies.rs
+++ b/crates/rollout/tests/late_copies.rs
@@ -1,7 +1,7 @@
-//! Records of the control stream that stand there twice, the second copy seconds late.
+//! Records that are in the control stream twice, the second time with a delay of seconds.
 //!
-//! A log's driver makes an append again over a new connection when the first one has no answer. The
-//! first one may be done all the same, seconds later and behind newer records.
+//! The log client retries an append over a new connection when the first attempt has no answer. The log may
+//! still carry out the first attempt, seconds later and behind newer records.
 
 mod support;
 
@@ -31,9 +31,9 @@
     }
 }
 
-/// Items are kept away from a back end while it carries out an order.
+/// A back end with a pending order gets no items, so an order that is done must not become pending again.
 #[test]
-fn a_late_copy_of_an_order_that_is_done_puts_none_under_way() {
+fn a_delayed_duplicate_of_a_completed_order_does_not_become_pending() {
     let mut state = ControlState::new(MachineName::from("b"));
     for (at, record) in [ordered(2), observed(2), ordered(2)]
         .into_iter()
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_late_copy_of_an_observation_ends_no_newer_order() {
+fn a_delayed_duplicate_of_an_observation_does_not_complete_a_newer_order() {
     let mut state = ControlState::new(MachineName::from("b"));
     let records = [ordered(2), observed(2), ordered(3), observed(2)];
     for (at, record) in records.into_iter().enumerate() {
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_late_copy_of_an_observation_takes_no_version_back() {
+fn a_delayed_duplicate_of_an_observation_does_not_lower_the_version() {
     let mut state = ControlState::new(MachineName::from("b"));
     let records = [
         ordered(2),
@@ -71,10 +71,9 @@
     assert_eq!(last.version, 3);
 }
 
-/// A batch that is open again after a while is claimed by one node after the other, not by all at once:
-/// each reads the batch's whole partition.
+/// The nodes must spread their claims of a reopened batch, since each claim reads the batch's whole partition.
 #[test]
-fn a_late_copy_of_a_notice_is_not_claimed_by_all_nodes_at_once() {
+fn a_reopened_batch_is_not_claimed_by_all_nodes_at_once() {
     let timing = |spread_ms| ClaimTiming {
         silence_ms: 1_300,
         spread_ms,
@@ -85,17 +84,18 @@
         Some(node("a", 1)),
     );
     let mut index = BatchIndex::default();
-    index.accepted(notice.clone(), 1_000);
-    index.closed(&id, 5_000);
-    index.accepted(notice, 9_000);
+    index.add(notice.clone(), 1_000);
+    index.close(&id, 5_000);
+    index.add(notice, 9_000);
     let owner = &index.batch(&id).unwrap().owner;
     let claims = [10, 200, 400].map(|spread| owner.claimable_at(&node("b", 1), 0, &timing(spread)));
     assert!(claims[2] > 9_000, "all may claim at once: {claims:?}");
 }
 
-/// A node's own run may have shown a newer version meanwhile, which must not be taken back.
+/// A run of this node may have observed a newer version in the meantime, which must not be replaced by an older
+/// one.
 #[test]
-fn a_late_copy_of_the_newest_observation_is_not_told_again() {
+fn a_delayed_duplicate_of_the_newest_observation_is_not_returned_again() {
     let mut state = ControlState::new(MachineName::from("b"));
     for (at, record) in [ordered(2), observed(2), observed(2)]
         .into_iter()
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_late_copy_of_an_order_takes_no_newer_one_back() {
+fn a_delayed_duplicate_of_an_order_does_not_replace_a_newer_order() {
     let mut state = ControlState::new(MachineName::from("b"));
     let withdrawn = ControlRecord::Withdrawn {
         backend: backend("x"),
@@ -119,9 +119,10 @@
     assert_eq!(state.pending(&backend("x")).unwrap().version, 3);
 }
 
-/// An order that its back end did not take: what it has is nothing new, so the order is withdrawn.
+/// A back end that did not carry out its order still has the old version. Observing that version does not complete
+/// the order, so the holder withdraws it.
 #[test]
-fn an_order_that_was_not_taken_is_withdrawn_and_given_again() {
+fn an_order_that_was_not_carried_out_is_withdrawn_and_given_again() {
     let mut state = ControlState::new(MachineName::from("b"));
     let withdrawn = ControlRecord::Withdrawn {
         backend: backend("x"),
@@ -136,50 +137,50 @@
     assert_eq!(state.pending(&backend("x")), None);
 }
 
-/// An engine that starts again has a new id and may have an older version.
+/// An engine that restarts has a new id and may serve an older version.
 #[test]
-fn what_a_former_life_of_an_engine_had_says_nothing_of_the_next() {
+fn the_version_of_an_earlier_incarnation_does_not_apply_to_the_next() {
     let mut state = ControlState::new(MachineName::from("b"));
     for record in [ordered(3), observed(3)] {
         state.apply(record, 1_000);
     }
-    let next_life = backend("x again");
+    let next_incarnation = backend("x again");
     state.apply(
         ControlRecord::Ordered {
             holder: node("a", 1),
-            backend: next_life.clone(),
+            backend: next_incarnation.clone(),
             model: ModelName::from("m"),
             version: 2,
         },
         2_000,
     );
-    assert_eq!(state.pending(&next_life).unwrap().version, 2);
+    assert_eq!(state.pending(&next_incarnation).unwrap().version, 2);
     state.apply(
         ControlRecord::Observed {
-            backend: next_life.clone(),
+            backend: next_incarnation.clone(),
             model: ModelName::from("m"),
             version: 1,
         },
         3_000,
     );
-    assert_eq!(state.pending(&next_life), None);
+    assert_eq!(state.pending(&next_incarnation), None);
     assert_eq!(state.take_observed().last().unwrap().version, 1);
 }
 
-/// A node that starts between a record and its late copy.
+/// A node that starts between a record and its delayed duplicate must recognize the duplicate by the checkpoint.
 #[test]
-fn a_checkpoint_tells_which_late_copies_change_nothing() {
+fn delayed_duplicates_are_ignored_after_a_restore_from_a_checkpoint() {
     let mut writer = ControlState::new(MachineName::from("a"));
     let id = BatchId::from("batch");
     let notice = BatchNotice::of(&submission("batch", vec![item("one", "g", 10)]), None);
-    let serves = ControlRecord::Heartbeat {
+    let heartbeat = ControlRecord::Heartbeat {
         node: node("a", 1),
         routes: Vec::new(),
         batches: vec![id.clone()],
     };
     let closed = ControlRecord::BatchClosed { batch: id.clone() };
     let accepted = ControlRecord::BatchAccepted(notice);
-    for record in [ordered(3), observed(3), accepted.clone(), serves, closed] {
+    for record in [ordered(3), observed(3), accepted.clone(), heartbeat, closed] {
         writer.apply(record, 1_000);
     }
     let read = ControlCheckpoint::decode(&writer.checkpoint(5).encode()).unwrap();
@@ -192,7 +193,7 @@
     assert!(!state.index().batch(&id).unwrap().is_open());
 }
 
-/// An index with a batch that was noticed at 1 s and closed at 5 s.
+/// An index with a batch that was accepted at 1 s and closed at 5 s.
 fn index_with_closed_batch(was_found: bool) -> (BatchIndex, BatchNotice) {
     let notice = BatchNotice::of(
         &submission("batch", vec![item("one", "g", 10)]),
@@ -200,38 +201,39 @@
     );
     let id = notice.batch.clone();
     let mut index = BatchIndex::default();
-    index.accepted(notice.clone(), 1_000);
+    index.add(notice.clone(), 1_000);
     if was_found {
-        index.held(&node("a", 1), std::slice::from_ref(&id), 2_000);
+        index.record_heartbeat(&node("a", 1), std::slice::from_ref(&id), 2_000);
     }
-    index.closed(&id, 5_000);
+    index.close(&id, 5_000);
     (index, notice)
 }
 
-/// Its owner said that it runs the batch, so the batch was closed because it was done.
+/// The owner has reported that it runs the batch, so the batch was closed because it was completed.
 #[test]
-fn a_late_copy_of_a_notice_opens_no_batch_that_is_done() {
+fn a_delayed_duplicate_of_a_notice_does_not_reopen_a_completed_batch() {
     let (mut index, notice) = index_with_closed_batch(true);
-    index.accepted(notice.clone(), 9_000);
+    index.add(notice.clone(), 9_000);
     assert!(!index.batch(&notice.batch).unwrap().is_open());
 }
 
-/// Nobody said so: it may have been closed because its items never came.
+/// No node has reported that it runs the batch, so it may have been closed because its items were missing.
 #[test]
-fn a_batch_that_nobody_found_is_open_again() {
+fn a_second_notice_reopens_a_batch_that_no_node_found() {
     let (mut index, notice) = index_with_closed_batch(false);
-    index.accepted(notice.clone(), 9_000);
+    index.add(notice.clone(), 9_000);
     let batch = index.batch(&notice.batch).unwrap();
     assert!(batch.is_open());
     assert_eq!(batch.owner.last_seen(), 9_000);
 }
 
-/// The log no longer has its items, so that it was taken for one that never came, and it is handed in again.
+/// The log has dropped the items of the batch, so the batch was closed because its items were missing. Then the
+/// client submits it again.
 #[test]
-fn a_batch_that_is_handed_in_again_after_its_items_were_dropped_is_open_again() {
+fn a_batch_that_is_resubmitted_after_the_log_dropped_its_items_is_reopened() {
     let (mut index, notice) = index_with_closed_batch(true);
     let at = 1_000 + MISSING_ITEMS_TIMEOUT_MS + 1;
-    index.accepted(notice.clone(), at);
+    index.add(notice.clone(), at);
     let batch = index.batch(&notice.batch).unwrap();
     assert!(batch.is_open());
     assert_eq!(batch.owner.last_seen(), at);
