--- a/crates/rollout/src/control.rs
+++ b/crates/rollout/src/control.rs
@@ -141,7 +141,7 @@
     pub fn restored(own_machine: MachineName, checkpoint: ControlCheckpoint, now: Millis) -> Self {
         let mut state = Self::new(own_machine);
         for machine in checkpoint.machines {
-            state.fleet.joined(machine);
+            state.fleet.record_announcement(machine);
         }
         state.index = BatchIndex::restored(checkpoint.batches, &checkpoint.found, now);
         state.lease = LeaseState::restored(checkpoint.term, checkpoint.holder, now);
@@ -177,14 +177,14 @@
     /// Applies the next record of the stream, read at `now` on this node's clock.
     pub fn apply(&mut self, record: ControlRecord, now: Millis) {
         match record {
-            ControlRecord::Joined { machine } => self.fleet.joined(machine),
+            ControlRecord::Joined { machine } => self.fleet.record_announcement(machine),
             ControlRecord::Heartbeat {
                 node,
                 routes,
                 batches,
             } => {
                 self.index.record_heartbeat(&node, &batches, now);
-                self.peers.lives(&node, now);
+                self.peers.record_heartbeat(&node, now);
                 for route in routes {
                     let server = RouteServer {
                         node: node.clone(),
@@ -244,22 +244,24 @@
                 self.pending.remove(&backend);
             }
             ControlRecord::BackendEnded { request, ended } => {
-                self.crashes.backend_ended(request, ended, now);
+                self.crashes.record_end(request, ended, now);
             }
             ControlRecord::RequestCleared { request } => {
-                self.crashes.cleared(&request);
+                self.crashes.clear(&request);
             }
             ControlRecord::BackendLives { backend } => {
-                self.crashes.backend_lives(&backend);
+                self.crashes.retract_ends_at(&backend);
             }
             ControlRecord::UsageDecided { window, counts } => self.usage.decide(window, counts),
             ControlRecord::SizeOrdered { pool, zone, size } => {
                 self.sizes.entry(pool).or_default().insert(zone, size);
             }
             ControlRecord::UsageSettled { window } => self.usage.settle(window),
-            ControlRecord::PeerListens { node, address } => self.peers.listens(node, address, now),
+            ControlRecord::PeerListens { node, address } => {
+                self.peers.record_address(node, address, now)
+            }
             ControlRecord::Reachable { machine, address } => {
-                self.reachable.told(machine, address);
+                self.reachable.record_address(machine, address);
             }
         }
     }
