--- a/crates/rollout/src/claim_delay.rs
+++ b/crates/rollout/src/claim_delay.rs
@@ -57,7 +57,7 @@
 
     /// Returns the time until a node retries a claim that failed, in milliseconds: at least `silence_ms`, the time
     /// without heartbeats after which a lease may be claimed. The first nodes to claim retry often; later nodes retry
-    /// after their own longer delay, so that retries don't exceed the maximum rate.
+    /// after their own longer delay, so that the rate of retries stays bounded at any fleet size.
     pub fn retry_delay_ms(&self, draw: u64, silence_ms: Millis) -> Millis {
         silence_ms.max(self.delay_ms(draw))
     }
--- a/crates/rollout/tests/claim_delay.rs
+++ b/crates/rollout/tests/claim_delay.rs
@@ -74,12 +74,12 @@
         };
         let max_per_s = times.iter().map(|at| within(*at)).max().unwrap();
         assert!(max_per_s <= 25, "{max_per_s} in a second of {machines}");
-        let retry_delay_ms = |node: usize| {
+        let node_retry_ms = |node: usize| {
             let draw = xxh3_64(format!("{node} 7").as_bytes());
             spread(machines).retry_delay_ms(draw, 1_300) as f64
         };
         let per_s: f64 = (0..machines)
-            .map(|node| 1_000.0 / retry_delay_ms(node))
+            .map(|node| 1_000.0 / node_retry_ms(node))
             .sum();
         assert!(per_s <= 60.0, "{per_s} a second of {machines}");
     }
