--- a/crates/rollout/src/crash_ledger/mod.rs
+++ b/crates/rollout/src/crash_ledger/mod.rs
@@ -1,11 +1,12 @@
-//! Which requests ended the back ends that ran them, so that no node sends such a request on and on.
+//! Tracks which requests crash the back ends that run them, so that nodes stop retrying such a request.
 //!
-//! A back end that ends takes everything down that runs there. So a request is *suspected* with its first
-//! end and *barred* after several, and an answer with success clears it: it can be run. Ends of
-//! which another request can be the cause just as well count for less.
+//! The *end* of a back end means that its process exits or crashes; it aborts every request that runs there. The ends
+//! of a request are the ends of back ends that were running it. A request is *suspected* from its first end and
+//! *barred* after several. A successful answer clears it. An end that another request may have caused as well counts
+//! for less.
 
-mod blame;
-mod judgement;
+mod attribution;
+mod bar_rules;
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,44 +14,45 @@
 
 use serde::{Deserialize, Serialize};
 
-use self::blame::Verdict;
+use self::bar_rules::CachedCulprits;
 use crate::Millis;
 use crate::ids::{BackendId, MachineName};
 
-/// Back ends that must have ended under a request before it is barred.
+/// Number of ends from which a request can be barred.
 pub const BAR_AFTER_ENDS: usize = 3;
-/// Ends of which a single one without a likelier cause bars it. With three, two honest items of a batch were barred in 10
-/// soaked seeds: they had been beside three different harmful requests.
+/// Number of ends from which a single end without a likelier cause is enough to bar a request. With 3, two harmless
+/// items of one batch were barred in 10 seeds of the soak test, as they had run beside three different harmful
+/// requests.
 pub const BAR_AFTER_SHARED_ENDS: usize = 5;
-/// Time after the end that may bar it for which a request is given the benefit of the doubt if another one was there at
-/// exactly the same ends: callers try again within it, which tells the two apart. Shorter than the time
-/// within which all nodes must have stopped to send a harmful request.
-pub const DOUBT_MS: Millis = 2_000;
-/// Time after each end that may bar it in which a request that had company at the ends before is neither run nor
-/// barred: what other nodes saw of the same end is told within it.
-pub const SETTLING_MS: Millis = 300;
-/// Most requests that are remembered; 256 take some 30 KB in memory and 20 KB in a checkpoint.
-pub const MOST_REQUESTS: usize = 256;
-/// Most back ends that are remembered of a request.
-const MOST_BACKENDS: usize = 8;
-/// Time without news after which a request that is only suspected is forgotten: callers give up within
-/// seconds, and batches carry an item for a few minutes at most.
-const FORGET_SUSPECTED_MS: Millis = 5 * 60_000;
-/// Time after the last attempt after which a barred request is forgotten: long enough for one that comes
-/// again and again, and a wrong bar ends by itself.
-const FORGET_BARRED_MS: Millis = 60 * 60_000;
-
-/// What stays the same of a request from one try to the next.
+/// Time for which a request is not barred if another request has exactly the same ends, counted from the end that
+/// makes it eligible. Callers retry within this time, and a retry tells the two requests apart. It is shorter than the
+/// time within which all nodes must stop sending a harmful request.
+pub const AMBIGUITY_GRACE_MS: Millis = 2_000;
+/// Time after each end of an eligible request during which it is neither run nor barred if other requests were at all
+/// its earlier ends. Other nodes report what they saw of the same end within this time.
+pub const REPORT_WAIT_MS: Millis = 300;
+/// Maximum number of tracked requests; 256 take some 30 KB in memory and 20 KB in a checkpoint.
+pub const MAX_REQUESTS: usize = 256;
+/// Maximum number of ends that are stored per request.
+const MAX_ENDS_PER_REQUEST: usize = 8;
+/// Time without an end or a retry after which a request that is only suspected is forgotten: callers give up within
+/// seconds, and a batch retries an item for a few minutes at most.
+const SUSPECTED_RETENTION_MS: Millis = 5 * 60_000;
+/// Time without an end or a retry after which a barred request is forgotten: long enough for a caller that retries it
+/// repeatedly, and short enough that a wrong bar expires.
+const BARRED_RETENTION_MS: Millis = 60 * 60_000;
+
+/// Hash of the content of a request, which is the same for all its retries.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fingerprint([u8; 16]);
 
 impl Fingerprint {
-    /// From the bytes of a hash.
+    /// Creates a fingerprint from the 16 bytes of a hash.
     pub fn new(bytes: [u8; 16]) -> Self {
         Self(bytes)
     }
 
-    /// Reads what its text form names.
+    /// Parses the text form, 32 hexadecimal digits; `None` for any other text.
     pub fn parse(text: &str) -> Option<Self> {
         let digits = text.as_bytes();
         let is_hex = digits.iter().all(u8::is_ascii_hexdigit);
@@ -73,72 +75,72 @@
     }
 }
 
-/// A back end that ended while it ran a request.
+/// A back end that ended while it was running a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndedBackend {
-    /// The back end; its id stands for one life of it.
+    /// The back end. Its id names one incarnation, so a restarted back end has another id.
     pub backend: BackendId,
-    /// The machine that saw it.
+    /// The machine whose node saw the end.
     pub seen_by: MachineName,
 }
 
-/// Other requests that were there when a back end ended under one.
+/// The other suspected requests that were running at a back end when it ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OtherRequestsAtEnd {
-    /// The back end.
+    /// The back end that ended.
     pub backend: BackendId,
-    /// How many there were.
+    /// Number of the other requests.
     pub others: usize,
-    /// The most ends that one of them has, here and elsewhere; 0 without any.
+    /// Highest total number of ends, at any back end, among the other requests; 0 if there are none.
     pub max_ends: usize,
 }
 
-/// What a checkpoint keeps of a request.
+/// A suspected request as a checkpoint stores it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashCheckpoint {
-    /// The request.
+    /// The suspected request.
     pub request: Fingerprint,
-    /// Back ends that ended under it.
+    /// Its ends, in the order in which this node learnt of them.
     pub ended: Vec<EndedBackend>,
 }
 
-/// What is known against a request.
+/// Whether a request may be run, given its ends.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Suspicion {
-    /// Nothing.
+    /// The request has no known ends.
     None,
-    /// So many back ends ended while they ran it; it may be run so many times more, all at once.
+    /// The request has ends but is not barred. It may be run a limited number of times, also concurrently.
     Suspected {
-        /// Ends.
+        /// Number of its ends.
         ends: usize,
-        /// Runs that may be under way before it is barred; none for a moment while others may still tell of an end.
+        /// Maximum number of concurrent runs; 0 while reports of other nodes on the latest end may still arrive.
         runs_left: usize,
     },
-    /// Another one is the likelier cause of its ends, but it may be harmful too: one machine tries it, another
-    /// than this one. Whoever alone runs it at all, as the owner of its batch, may do so too.
+    /// Another request is the likelier cause of its ends, but this one may be harmful too: one machine, and not this
+    /// one, runs it to find out. The owner of its batch, the only node that runs the batch's items, may run it as well.
     LeftToAnother {
-        /// Ends.
+        /// Number of its ends.
         ends: usize,
     },
-    /// It must not be run any more.
+    /// The request is taken to be the cause of its ends and must not be run.
     Barred {
-        /// The back ends that ended under it.
+        /// Its ends.
         ended: Vec<EndedBackend>,
-        /// Milliseconds since the last one was heard of here.
+        /// Milliseconds since this node learnt of the latest end.
         age_ms: Millis,
     },
 }
 
-/// Why requests were forgotten, with counts since the start.
+/// Number of requests that were forgotten since this ledger was created, by reason.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ForgottenRequests {
-    /// A back end answered them.
+    /// A back end answered the request successfully.
     pub cleared: u64,
-    /// Nothing was heard of them for long.
+    /// The retention time passed without an end or a retry.
     pub expired: u64,
-    /// There was no room for more.
+    /// The ledger was full.
     pub evicted: u64,
-    /// The back ends that were thought to have ended under them live.
+    /// All back ends that were reported as ended turned out to be alive.
     pub disproved: u64,
 }
 
@@ -146,11 +148,11 @@
 struct Suspect {
     ended: Vec<EndedBackend>,
     last_end: Millis,
-    /// When the end was heard of that may bar it.
-    told_at: Millis,
-    /// Its place among all requests by when that was. Unlike times it outlives a checkpoint.
-    told_order: u64,
-    last_news: Millis,
+    /// When this node learnt of the latest of the first [`BAR_AFTER_ENDS`] ends.
+    barring_end_at: Millis,
+    /// Sequence number of that moment, which orders requests. A checkpoint preserves the order, but not the times.
+    barring_end_order: u64,
+    last_seen: Millis,
 }
 
 impl Suspect {
@@ -158,8 +160,8 @@
         self.ended.iter().any(|ended| ended.backend == *backend)
     }
 
-    /// Whether it was there at all ends of another one.
-    fn shares_all_of(&self, other: &Self) -> bool {
+    /// Whether this request was running at every end of `other`.
+    fn was_at_all_ends_of(&self, other: &Self) -> bool {
         other
             .ended
             .iter()
@@ -167,35 +169,35 @@
     }
 }
 
-/// Requests under which back ends ended. Times are the reader's own.
+/// The suspected requests and their ends. All times are on the clock of the node that reads the reports.
 #[derive(Debug, Clone)]
 pub struct CrashLedger {
     own_machine: MachineName,
     suspects: BTreeMap<Fingerprint, Suspect>,
-    /// Which of them ran at each back end when it ended.
-    running_at: BTreeMap<BackendId, Vec<Fingerprint>>,
-    told_barred: BTreeSet<Fingerprint>,
-    /// The newest verdict on all of them; `None` since something was told.
-    verdict: RefCell<Option<Verdict>>,
+    /// The suspected requests that were running at each back end when it ended.
+    requests_at: BTreeMap<BackendId, Vec<Fingerprint>>,
+    reported_barred: BTreeSet<Fingerprint>,
+    /// Result of the latest attribution; `None` if a report arrived since.
+    culprits_cache: RefCell<Option<CachedCulprits>>,
     next_order: u64,
     forgotten: ForgottenRequests,
 }
 
 impl CrashLedger {
-    /// An empty ledger, as the machine `own_machine` keeps it.
+    /// Creates an empty ledger for a node on `own_machine`.
     pub fn new(own_machine: MachineName) -> Self {
         Self {
             own_machine,
             suspects: BTreeMap::new(),
-            running_at: BTreeMap::new(),
-            told_barred: BTreeSet::new(),
-            verdict: RefCell::default(),
+            requests_at: BTreeMap::new(),
+            reported_barred: BTreeSet::new(),
+            culprits_cache: RefCell::default(),
             next_order: 0,
             forgotten: ForgottenRequests::default(),
         }
     }
 
-    /// A ledger with what a checkpoint kept, heard of now.
+    /// Restores a ledger from a checkpoint. All ends count as learnt of at `now`.
     pub fn restored(own_machine: MachineName, kept: Vec<CrashCheckpoint>, now: Millis) -> Self {
         let mut ledger = Self::new(own_machine);
         for request in kept {
@@ -206,10 +208,10 @@
         ledger
     }
 
-    /// What a checkpoint keeps, in the order in which it is to be taken up again.
+    /// The entries for a checkpoint, in the order in which [`restored`](Self::restored) must record them.
     pub fn checkpoint(&self) -> Vec<CrashCheckpoint> {
         let mut suspects: Vec<(&Fingerprint, &Suspect)> = self.suspects.iter().collect();
-        suspects.sort_by_key(|(_, suspect)| suspect.told_order);
+        suspects.sort_by_key(|(_, suspect)| suspect.barring_end_order);
         suspects
             .into_iter()
             .map(|(request, suspect)| CrashCheckpoint {
@@ -219,63 +221,63 @@
             .collect()
     }
 
-    /// Whether nothing is known against any request.
+    /// Whether no request is suspected or barred.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    /// How many requests are remembered.
+    /// Number of suspected and barred requests.
     pub fn len(&self) -> usize {
         self.suspects.len()
     }
 
-    /// How requests were forgotten so far.
+    /// Counts of forgotten requests, for metrics.
     pub fn forgotten(&self) -> ForgottenRequests {
         self.forgotten
     }
 
-    /// A back end ended while it ran a request. Told twice it counts once.
+    /// Records that a back end ended while it was running a request. Duplicate reports count once.
     pub fn record_end(&mut self, request: Fingerprint, ended: EndedBackend, now: Millis) {
-        if !self.suspects.contains_key(&request) && self.suspects.len() >= MOST_REQUESTS {
+        if !self.suspects.contains_key(&request) && self.suspects.len() >= MAX_REQUESTS {
             self.evict_one(now);
         }
         let suspect = self.suspects.entry(request).or_insert_with(|| Suspect {
             ended: Vec::new(),
             last_end: now,
-            told_at: now,
-            told_order: 0,
-            last_news: now,
+            barring_end_at: now,
+            barring_end_order: 0,
+            last_seen: now,
         });
-        if suspect.has_end_at(&ended.backend) || suspect.ended.len() >= MOST_BACKENDS {
+        if suspect.has_end_at(&ended.backend) || suspect.ended.len() >= MAX_ENDS_PER_REQUEST {
             return;
         }
-        self.verdict.take();
+        self.culprits_cache.take();
         let backend = ended.backend.clone();
         suspect.ended.push(ended);
         suspect.last_end = now;
-        suspect.last_news = now;
+        suspect.last_seen = now;
         if suspect.ended.len() <= BAR_AFTER_ENDS {
-            suspect.told_at = now;
-            suspect.told_order = self.next_order;
+            suspect.barring_end_at = now;
+            suspect.barring_end_order = self.next_order;
             self.next_order += 1;
         }
-        let running = self.running_at.entry(backend).or_default();
+        let running = self.requests_at.entry(backend).or_default();
         running.push(request);
     }
 
-    /// A back end answered a request, so that it can be run; answers whether anything was known against it.
+    /// Clears a request that a back end answered successfully. Returns whether it had been suspected or barred.
     pub fn clear(&mut self, request: &Fingerprint) -> bool {
         let was_known = self.forget(request);
         self.forgotten.cleared += u64::from(was_known);
         was_known
     }
 
-    /// A back end that was taken for ended lives; answers whether any request was suspected for it.
+    /// Removes the ends at a back end that turned out to be alive. Returns whether any request had an end there.
     pub fn retract_ends_at(&mut self, backend: &BackendId) -> bool {
-        let Some(running) = self.running_at.remove(backend) else {
+        let Some(running) = self.requests_at.remove(backend) else {
             return false;
         };
-        self.verdict.take();
+        self.culprits_cache.take();
         for request in running {
             let Some(suspect) = self.suspects.get_mut(&request) else {
                 continue;
@@ -288,15 +290,16 @@
         true
     }
 
-    /// Whether it is known that a back end ended under a request.
+    /// Whether the ledger holds an end of `request` at `backend`.
     pub fn has_end_at(&self, request: &Fingerprint, backend: &BackendId) -> bool {
         let suspect = self.suspects.get(request);
         suspect.is_some_and(|suspect| suspect.has_end_at(backend))
     }
 
-    /// Time since the last end of a request that a back end is held to have ended under; `None` if it is not.
+    /// Milliseconds since the latest end, at any back end, of the requests that were running at `backend` when it ended;
+    /// `None` if the ledger holds no end of `backend`.
     pub fn last_end_age(&self, backend: &BackendId, now: Millis) -> Option<Millis> {
-        let running = self.running_at.get(backend)?;
+        let running = self.requests_at.get(backend)?;
         let suspects = running
             .iter()
             .filter_map(|request| self.suspects.get(request));
@@ -304,7 +307,7 @@
         Some(now.saturating_sub(last_end))
     }
 
-    /// What is known against a request.
+    /// Whether a request may be run now.
     pub fn suspicion(&self, request: &Fingerprint, now: Millis) -> Suspicion {
         let Some(suspect) = self.suspects.get(request) else {
             return Suspicion::None;
@@ -317,7 +320,7 @@
             };
         }
         match self.runs_left(request, suspect, now) {
-            0 if self.is_settling(request, suspect, now) => {
+            0 if self.is_awaiting_reports(request, suspect, now) => {
                 Suspicion::Suspected { ends, runs_left: 0 }
             }
             0 => Suspicion::LeftToAnother { ends },
@@ -325,7 +328,7 @@
         }
     }
 
-    /// Who else was there at each end of a request, which tells whether it was barred rightly.
+    /// The other requests at each end of a request; an operator can check with them whether a bar is justified.
     pub fn others_at_ends(&self, request: &Fingerprint) -> Vec<OtherRequestsAtEnd> {
         let suspect = self.suspects.get(request);
         let ended = suspect.into_iter().flat_map(|suspect| &suspect.ended);
@@ -341,32 +344,32 @@
         company.collect()
     }
 
-    /// A request that is known came again: it is not forgotten yet.
+    /// Records a retry of a request, which prolongs its retention if it is suspected or barred.
     pub fn record_retry(&mut self, request: &Fingerprint, now: Millis) {
         if let Some(suspect) = self.suspects.get_mut(request) {
-            suspect.last_news = now;
+            suspect.last_seen = now;
         }
     }
 
-    /// Whether any request may be barred: back ends enough have ended under it.
+    /// Whether any request has enough ends to be barred.
     pub fn has_bar_candidates(&self) -> bool {
         let mut suspects = self.suspects.values();
         suspects.any(|suspect| suspect.ended.len() >= BAR_AFTER_ENDS)
     }
 
-    /// Requests that were barred since the last call, by what was told or as time passed.
+    /// Returns the requests that became barred since the last call, by a report or by the passing of time.
     pub fn take_newly_barred(&mut self, now: Millis) -> Vec<Fingerprint> {
         if !self.has_bar_candidates() {
             return Vec::new();
         }
         let culprits = self.all_culprits(now);
-        let newly = culprits.difference(&self.told_barred);
+        let newly = culprits.difference(&self.reported_barred);
         let newly: Vec<Fingerprint> = newly.copied().collect();
-        self.told_barred.extend(&newly);
+        self.reported_barred.extend(&newly);
         newly
     }
 
-    /// Forgets what nothing was heard of for long.
+    /// Forgets requests whose retention time passed without an end or a retry.
     pub fn forget_old(&mut self, now: Millis) {
         let culprits = self.all_culprits(now);
         let old: Vec<Fingerprint> = self
@@ -374,10 +377,10 @@
             .iter()
             .filter(|(request, suspect)| {
                 let keep_ms = match culprits.contains(request) {
-                    true => FORGET_BARRED_MS,
-                    false => FORGET_SUSPECTED_MS,
+                    true => BARRED_RETENTION_MS,
+                    false => SUSPECTED_RETENTION_MS,
                 };
-                now.saturating_sub(suspect.last_news) > keep_ms
+                now.saturating_sub(suspect.last_seen) > keep_ms
             })
             .map(|(request, _)| *request)
             .collect();
@@ -386,14 +389,15 @@
         }
     }
 
-    /// Makes room: first for the least suspicious ones, then for those nothing was heard of for longest.
+    /// Removes one request: not a barred one if possible, then the one with the fewest ends, then the one that was seen
+    /// least recently.
     fn evict_one(&mut self, now: Millis) {
         let culprits = self.all_culprits(now);
         let least = self.suspects.iter().min_by_key(|(request, suspect)| {
             (
                 culprits.contains(request),
                 suspect.ended.len(),
-                suspect.last_news,
+                suspect.last_seen,
             )
         });
         if let Some(request) = least.map(|(request, _)| *request) {
@@ -402,16 +406,16 @@
     }
 
     fn forget(&mut self, request: &Fingerprint) -> bool {
-        self.told_barred.remove(request);
-        self.verdict.take();
+        self.reported_barred.remove(request);
+        self.culprits_cache.take();
         let Some(suspect) = self.suspects.remove(request) else {
             return false;
         };
         for ended in &suspect.ended {
-            if let Some(running) = self.running_at.get_mut(&ended.backend) {
+            if let Some(running) = self.requests_at.get_mut(&ended.backend) {
                 running.retain(|other| other != request);
                 if running.is_empty() {
-                    self.running_at.remove(&ended.backend);
+                    self.requests_at.remove(&ended.backend);
                 }
             }
         }
--- a/crates/rollout/tests/crash_ledger.rs
+++ b/crates/rollout/tests/crash_ledger.rs
@@ -1,12 +1,12 @@
-//! Which requests are suspected and barred for ended back ends, and how that is taken back.
+//! Tests which requests are suspected and barred after back ends ended, and how they are cleared again.
 
 use havenstage_rollout::Millis;
 use havenstage_rollout::checkpoint::ControlCheckpoint;
 use havenstage_rollout::control::ControlState;
 use havenstage_rollout::control_record::ControlRecord;
 use havenstage_rollout::crash_ledger::{
-    BAR_AFTER_ENDS, BAR_AFTER_SHARED_ENDS, CrashLedger, DOUBT_MS, EndedBackend, Fingerprint,
-    ForgottenRequests, MOST_REQUESTS, SETTLING_MS, Suspicion,
+    AMBIGUITY_GRACE_MS, BAR_AFTER_ENDS, BAR_AFTER_SHARED_ENDS, CrashLedger, EndedBackend,
+    Fingerprint, ForgottenRequests, MAX_REQUESTS, REPORT_WAIT_MS, Suspicion,
 };
 use havenstage_rollout::ids::{BackendId, MachineName};
 use havenstage_rollout::stored::Stored;
@@ -33,14 +33,14 @@
     }
 }
 
-/// A back end ends while it runs all of these.
-fn end(ledger: &mut CrashLedger, backend: &str, running: &[u128]) {
+/// Records that a back end ended while it was running all these requests.
+fn end_backend(ledger: &mut CrashLedger, backend: &str, running: &[u128]) {
     for number in running {
         ledger.record_end(request(*number), ended(backend, "a"), 1_000);
     }
 }
 
-fn is_settling(ledger: &CrashLedger, number: u128, now: u64) -> bool {
+fn is_awaiting_reports(ledger: &CrashLedger, number: u128, now: u64) -> bool {
     let suspicion = ledger.suspicion(&request(number), now);
     matches!(suspicion, Suspicion::Suspected { runs_left: 0, .. })
 }
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_request_is_barred_with_the_third_end_and_each_end_counts_once() {
+fn a_request_is_barred_at_its_third_end_and_duplicate_reports_count_once() {
     let mut ledger = ledger();
     for seen_by in ["a", "b", "c", "d"] {
         ledger.record_end(request(HARMFUL), ended("x", seen_by), 5);
@@ -59,32 +59,37 @@
     let suspicion = ledger.suspicion(&request(HARMFUL), 5);
     let runs_left = BAR_AFTER_ENDS - 1;
     assert_eq!(suspicion, Suspicion::Suspected { ends: 1, runs_left });
-    end(&mut ledger, "y", &[HARMFUL]);
+    end_backend(&mut ledger, "y", &[HARMFUL]);
     assert!(!is_barred(&ledger, HARMFUL));
-    end(&mut ledger, "z", &[HARMFUL]);
+    end_backend(&mut ledger, "z", &[HARMFUL]);
     assert!(is_barred(&ledger, HARMFUL));
     assert_eq!(ledger.take_newly_barred(1_000), [request(HARMFUL)]);
-    assert_eq!(ledger.take_newly_barred(1_000), [], "told once");
+    assert_eq!(
+        ledger.take_newly_barred(1_000),
+        [],
+        "each barred request is returned once"
+    );
     assert_eq!(ledger.suspicion(&request(2), 5), Suspicion::None);
 }
 
-/// Honest requests that are retried beside a harmful one share its ends; only it is there at all of them.
+/// Harmless requests that are retried beside a harmful one share some of its ends; only the harmful one is at all of
+/// them.
 #[test]
-fn requests_beside_a_harmful_one_are_not_barred() {
+fn requests_that_share_some_ends_of_a_harmful_one_are_not_barred() {
     let mut ledger = ledger();
-    end(&mut ledger, "w", &[HARMFUL, 2, 3, 4, 5]);
-    end(&mut ledger, "x", &[2, 3, HARMFUL, 4]);
-    end(&mut ledger, "y", &[2, HARMFUL, 3]);
+    end_backend(&mut ledger, "w", &[HARMFUL, 2, 3, 4, 5]);
+    end_backend(&mut ledger, "x", &[2, 3, HARMFUL, 4]);
+    end_backend(&mut ledger, "y", &[2, HARMFUL, 3]);
     let barred: Vec<u128> = (1..=5)
         .filter(|number| is_barred(&ledger, *number))
         .collect();
-    assert_eq!(barred, [], "which of the three is it?");
-    end(&mut ledger, "z", &[HARMFUL]);
+    assert_eq!(barred, [], "the cause is ambiguous among three requests");
+    end_backend(&mut ledger, "z", &[HARMFUL]);
     assert!(
-        is_settling(&ledger, HARMFUL, 1_000),
-        "it is not run meanwhile"
+        is_awaiting_reports(&ledger, HARMFUL, 1_000),
+        "it is not run while reports may still arrive"
     );
-    let settled = 1_000 + SETTLING_MS;
+    let settled = 1_000 + REPORT_WAIT_MS;
     let barred: Vec<u128> = (1..=5)
         .filter(|number| {
             let suspicion = ledger.suspicion(&request(*number), settled);
@@ -94,29 +99,31 @@
     assert_eq!(barred, [HARMFUL]);
 }
 
-/// Two that were there at all the same ends may both be the cause: back ends come first in the end.
+/// Each of two requests with identical ends may be the cause. After [`BAR_AFTER_SHARED_ENDS`] ends both are barred, as
+/// protecting the back ends then takes precedence.
 #[test]
-fn requests_that_share_all_ends_are_barred_after_more_of_them() {
+fn requests_with_identical_ends_are_barred_after_more_ends() {
     let mut ledger = ledger();
     for number in 0..BAR_AFTER_SHARED_ENDS {
         assert!(!is_barred(&ledger, HARMFUL), "after {number} ends");
-        end(&mut ledger, &format!("x{number}"), &[HARMFUL, 2]);
+        end_backend(&mut ledger, &format!("x{number}"), &[HARMFUL, 2]);
     }
     assert!(is_barred(&ledger, HARMFUL) && is_barred(&ledger, 2));
 }
 
-/// Two honest items of one batch were three times beside harmful requests, each time another one, which were
-/// barred for it. What a barred one explains is not held against them, nor do they excuse each other.
+/// Guards against barring two harmless items of one batch that ran beside three different harmful requests, which are
+/// barred themselves. Ends that a barred request explains do not count against the items, and the items do not excuse
+/// each other.
 #[test]
-fn requests_that_were_beside_several_harmful_ones_are_not_barred() {
+fn requests_that_ran_beside_several_harmful_ones_are_not_barred() {
     let mut ledger = ledger();
     let (first, second) = (20, 21);
     for harmful in 1..=3 {
         for backend in 1..=3 {
             let backend = format!("w{harmful}-{backend}");
             match backend.ends_with('1') {
-                true => end(&mut ledger, &backend, &[first, harmful, second]),
-                false => end(&mut ledger, &backend, &[harmful]),
+                true => end_backend(&mut ledger, &backend, &[first, harmful, second]),
+                false => end_backend(&mut ledger, &backend, &[harmful]),
             }
         }
     }
@@ -130,12 +137,12 @@
     assert!((1..=3).all(|harmful| is_barred(&ledger, harmful)));
 }
 
-/// What may be harmful, as it is not clear that another one is the cause, is tried by one machine only once
-/// callers had time to come again: the one that all agree on among those that saw its ends.
+/// Once callers had time to retry, only one machine runs a request that may be harmful. All nodes choose the same
+/// machine, among those that saw its ends.
 #[test]
-fn after_a_while_one_machine_alone_tries_what_may_be_harmful() {
-    let later = 1_000 + DOUBT_MS;
-    for (machine, may_try) in [("a", true), ("b", false), ("own", false)] {
+fn after_the_grace_time_only_one_machine_runs_a_possibly_harmful_request() {
+    let later = 1_000 + AMBIGUITY_GRACE_MS;
+    for (machine, is_trial_machine) in [("a", true), ("b", false), ("own", false)] {
         let mut ledger = ledger_of(machine);
         for (backend, seen_by) in [("x", "b"), ("y", "a"), ("z", "a")] {
             let end = ended(backend, seen_by);
@@ -148,24 +155,25 @@
             _ => 0,
         };
         assert_eq!(runs_left(later - 1), BAR_AFTER_SHARED_ENDS - BAR_AFTER_ENDS);
-        assert_eq!(runs_left(later), usize::from(may_try), "{machine}");
+        assert_eq!(runs_left(later), usize::from(is_trial_machine), "{machine}");
     }
 }
 
-/// What others may try is left to them: it is refused for now, not barred for good. The owner of a batch, who
-/// alone runs its items, may try it at any machine; an honest item would wait for its batch's end otherwise.
+/// A request that another machine may run is refused here for the time being, but not barred. The owner of a batch,
+/// the only node that runs its items, may run it on any machine; otherwise a harmless item would wait until its batch
+/// ends.
 #[test]
-fn what_another_machine_tries_is_not_barred() {
+fn a_request_left_to_another_machine_is_not_barred() {
     let mut ledger = ledger_of("own");
     for backend in ["x", "y", "z"] {
-        end(&mut ledger, backend, &[HARMFUL, 2]);
+        end_backend(&mut ledger, backend, &[HARMFUL, 2]);
     }
-    end(&mut ledger, "v", &[HARMFUL]);
-    let later = 1_000 + DOUBT_MS;
+    end_backend(&mut ledger, "v", &[HARMFUL]);
+    let later = 1_000 + AMBIGUITY_GRACE_MS;
     let suspicion = ledger.suspicion(&request(2), later);
     assert_eq!(suspicion, Suspicion::LeftToAnother { ends: 3 });
     for backend in ["p", "q"] {
-        end(&mut ledger, backend, &[2]);
+        end_backend(&mut ledger, backend, &[2]);
     }
     let suspicion = ledger.suspicion(&request(2), later);
     assert!(
@@ -174,60 +182,61 @@
     );
 }
 
-/// The honest one was beside two harmful ones, of which one had its third end before and the other one's is told
-/// only after its own.
+/// The harmless request ran beside two harmful ones. One of them had its third end earlier; the third end of the other
+/// is reported only after the third end of the harmless request.
 #[test]
-fn a_request_beside_harmful_ones_with_as_many_ends_is_not_barred() {
-    let (first, second, honest) = (HARMFUL, 2, 3);
+fn a_harmless_request_with_as_many_ends_as_the_harmful_ones_is_not_barred() {
+    let (first, second, harmless) = (HARMFUL, 2, 3);
     let mut ledger = ledger();
-    end(&mut ledger, "x", &[first, honest]);
-    end(&mut ledger, "y", &[first, 7]);
-    end(&mut ledger, "z", &[first, 8]);
-    assert!(is_barred(&ledger, first) || is_settling(&ledger, first, 1_000));
+    end_backend(&mut ledger, "x", &[first, harmless]);
+    end_backend(&mut ledger, "y", &[first, 7]);
+    end_backend(&mut ledger, "z", &[first, 8]);
+    assert!(is_barred(&ledger, first) || is_awaiting_reports(&ledger, first, 1_000));
     let mut at = |backend: &str, number, now| {
         ledger.record_end(request(number), ended(backend, "a"), now);
     };
     at("u", second, 2_000);
     at("u", 9, 2_000);
     at("v", second, 2_000);
-    at("v", honest, 2_000);
+    at("v", harmless, 2_000);
     at("w", 9, 2_050);
-    at("w", honest, 2_050);
+    at("w", harmless, 2_050);
     assert!(matches!(
         ledger.suspicion(&request(first), 2_050),
         Suspicion::Barred { .. }
     ));
-    for now in [2_050, 2_100, 2_050 + SETTLING_MS, 60_000] {
+    for now in [2_050, 2_100, 2_050 + REPORT_WAIT_MS, 60_000] {
         if now == 2_100 {
             ledger.record_end(request(second), ended("w", "b"), now);
         }
-        let suspicion = ledger.suspicion(&request(honest), now);
+        let suspicion = ledger.suspicion(&request(harmless), now);
         let is_barred = matches!(suspicion, Suspicion::Barred { .. });
         assert!(!is_barred, "{now}: {suspicion:?}");
     }
 }
 
-/// In a small pool one batch saw five engines end within seconds, each under another harmful request.
+/// Guards against barring harmless items of a batch in a small pool, where five engines end within seconds, each
+/// under a different harmful request.
 #[test]
-fn an_honest_request_beside_five_harmful_ones_is_not_barred() {
-    let (honest, other) = (20, 21);
+fn a_harmless_request_beside_five_harmful_ones_is_not_barred() {
+    let (harmless, other) = (20, 21);
     let mut ledger = ledger();
     for harmful in 1..=5 {
         for backend in ["x", "y", "z"] {
-            end(&mut ledger, &format!("{backend}{harmful}"), &[harmful]);
+            end_backend(&mut ledger, &format!("{backend}{harmful}"), &[harmful]);
         }
-        end(&mut ledger, &format!("x{harmful}"), &[honest, other]);
+        end_backend(&mut ledger, &format!("x{harmful}"), &[harmless, other]);
     }
-    let later = 1_000 + DOUBT_MS;
-    for number in [honest, other] {
+    let later = 1_000 + AMBIGUITY_GRACE_MS;
+    for number in [harmless, other] {
         let suspicion = ledger.suspicion(&request(number), later);
         assert_eq!(suspicion, Suspicion::LeftToAnother { ends: 5 });
     }
-    end(&mut ledger, "v", &[honest]);
-    let suspicion = ledger.suspicion(&request(honest), later);
+    end_backend(&mut ledger, "v", &[harmless]);
+    let suspicion = ledger.suspicion(&request(harmless), later);
     assert!(
         matches!(suspicion, Suspicion::Barred { .. }),
-        "one end more without a likelier cause: {suspicion:?}"
+        "one more end without a likelier cause: {suspicion:?}"
     );
 }
 
@@ -236,11 +245,11 @@
     matches!(suspicion, Suspicion::Barred { .. })
 }
 
-/// Guards against a refused honest item: in a pool whose engines all ended it was beside one harmful request once and
-/// beside another one each time, so that it had more ends than either.
+/// Guards against refusing a harmless item: in a pool whose engines all ended, it ran once beside one harmful request
+/// and each other time beside another, so that it had more ends than either.
 #[test]
-fn an_honest_request_with_more_ends_than_the_harmful_ones_is_not_barred() {
-    let (first, second, honest) = (HARMFUL, 2, 30);
+fn a_harmless_request_with_more_ends_than_the_harmful_ones_is_not_barred() {
+    let (first, second, harmless) = (HARMFUL, 2, 30);
     let mut ledger = ledger();
     let mut at = |now, backend: &str, running: &[u128]| {
         for number in running {
@@ -249,82 +258,94 @@
     };
     at(1_000, "p", &[first, 7]);
     at(1_400, "q", &[first, 8]);
-    at(1_900, "r", &[honest, 9, first]);
-    at(3_100, "s", &[honest, 10, second]);
-    at(3_800, "t", &[honest, 11, second]);
-    at(3_900, "u", &[second, 12, honest]);
-    for now in [3_900, 3_900 + SETTLING_MS, 3_800 + DOUBT_MS, 60_000] {
-        assert!(!is_barred_at(&ledger, honest, now), "{now}");
+    at(1_900, "r", &[harmless, 9, first]);
+    at(3_100, "s", &[harmless, 10, second]);
+    at(3_800, "t", &[harmless, 11, second]);
+    at(3_900, "u", &[second, 12, harmless]);
+    for now in [
+        3_900,
+        3_900 + REPORT_WAIT_MS,
+        3_800 + AMBIGUITY_GRACE_MS,
+        60_000,
+    ] {
+        assert!(!is_barred_at(&ledger, harmless, now), "{now}");
         assert!(is_barred_at(&ledger, first, now), "{now}");
     }
     let next_run = 60_000;
     for number in [second, 13] {
         ledger.record_end(request(number), ended("v", "a"), next_run);
     }
-    let settled = next_run + SETTLING_MS;
+    let settled = next_run + REPORT_WAIT_MS;
     assert!(is_barred_at(&ledger, second, settled));
-    assert!(!is_barred_at(&ledger, honest, settled));
+    assert!(!is_barred_at(&ledger, harmless, settled));
 }
 
-/// The same with five ends, of which a barred request explains two, and two that came together the others.
+/// The same with five ends: a barred request explains two of them, and two harmful requests that came together
+/// explain the others.
 #[test]
-fn an_honest_request_with_five_ends_beside_three_harmful_ones_is_not_barred() {
-    let (barred, second, third, honest) = (HARMFUL, 2, 3, 30);
+fn a_harmless_request_with_five_ends_beside_three_harmful_ones_is_not_barred() {
+    let (barred, second, third, harmless) = (HARMFUL, 2, 3, 30);
     let mut ledger = ledger();
     for (backend, running) in [
-        ("a", [barred, honest, 7].as_slice()),
+        ("a", [barred, harmless, 7].as_slice()),
         ("b", &[barred, 8]),
         ("c", &[barred, 9]),
-        ("d", &[barred, honest, second, 10]),
+        ("d", &[barred, harmless, second, 10]),
         ("e", &[second, third, 11]),
-        ("f", &[second, third, honest]),
-        ("g", &[third, honest, 12]),
-        ("h", &[second, honest, 13]),
+        ("f", &[second, third, harmless]),
+        ("g", &[third, harmless, 12]),
+        ("h", &[second, harmless, 13]),
     ] {
-        end(&mut ledger, backend, running);
+        end_backend(&mut ledger, backend, running);
     }
-    for now in [1_000, 1_000 + SETTLING_MS, 1_000 + DOUBT_MS, 60_000] {
-        assert!(!is_barred_at(&ledger, honest, now), "{now}");
+    for now in [
+        1_000,
+        1_000 + REPORT_WAIT_MS,
+        1_000 + AMBIGUITY_GRACE_MS,
+        60_000,
+    ] {
+        assert!(!is_barred_at(&ledger, harmless, now), "{now}");
     }
-    assert!(is_barred_at(&ledger, barred, 1_000 + SETTLING_MS));
+    assert!(is_barred_at(&ledger, barred, 1_000 + REPORT_WAIT_MS));
     for backend in ["i", "j"] {
-        end(&mut ledger, backend, &[second, 14]);
-        end(&mut ledger, &format!("{backend}'"), &[third, 15]);
+        end_backend(&mut ledger, backend, &[second, 14]);
+        end_backend(&mut ledger, &format!("{backend}'"), &[third, 15]);
     }
-    let settled = 1_000 + SETTLING_MS;
+    let settled = 1_000 + REPORT_WAIT_MS;
     assert!(is_barred_at(&ledger, second, settled) && is_barred_at(&ledger, third, settled));
-    assert!(!is_barred_at(&ledger, honest, settled));
+    assert!(!is_barred_at(&ledger, harmless, settled));
 }
 
-/// Guards against the refusal of all items of a batch that were moved together: a next run of each tells which one it is.
+/// Guards against refusing all items of a batch that were moved together: one more run of each shows which one is
+/// harmful.
 #[test]
-fn requests_that_are_moved_together_are_tried_before_they_are_barred() {
+fn requests_that_are_moved_together_are_run_once_more_before_they_are_barred() {
     let items = [20, 21, 22];
     let mut ledger = ledger_of("a");
     for backend in ["x", "y", "z"] {
-        end(&mut ledger, backend, &items);
+        end_backend(&mut ledger, backend, &items);
     }
-    let later = 1_000 + DOUBT_MS;
+    let later = 1_000 + AMBIGUITY_GRACE_MS;
     for item in items {
         let suspicion = ledger.suspicion(&request(item), later);
-        let tried = Suspicion::Suspected {
+        let one_run_left = Suspicion::Suspected {
             ends: 3,
             runs_left: 1,
         };
-        assert_eq!(suspicion, tried);
+        assert_eq!(suspicion, one_run_left);
     }
-    end(&mut ledger, "v", &[21]);
+    end_backend(&mut ledger, "v", &[21]);
     let barred = items.map(|item| is_barred_at(&ledger, item, later));
     assert_eq!(barred, [false, true, false]);
 }
 
-/// An honest request that had as many ends before a harmful one does not excuse it: its own ends are explained, or
-/// it was at exactly the same ones.
+/// A harmless request that reached as many ends before a harmful one does not excuse it: either the ends of the
+/// harmless one are explained, or both have exactly the same ends.
 #[test]
-fn an_honest_request_excuses_no_harmful_one() {
-    let (first, honest) = (2, 3);
+fn a_harmless_request_excuses_no_harmful_one() {
+    let (first, harmless) = (2, 3);
     let harmful_ends = ["b", "c", "d"];
-    for honest_ends in [["a", "b", "c"], harmful_ends] {
+    for harmless_ends in [["a", "b", "c"], harmful_ends] {
         let mut ledger = ledger();
         let mut at = |backend: &str, number| {
             ledger.record_end(request(number), ended(backend, "b"), 1_000);
@@ -333,60 +354,60 @@
             at(backend, other);
             at(backend, first);
         }
-        for backend in honest_ends {
-            at(backend, honest);
+        for backend in harmless_ends {
+            at(backend, harmless);
         }
         for backend in harmful_ends {
             at(backend, HARMFUL);
             at(backend, 10 + u128::from(backend.as_bytes()[0]));
         }
-        let suspicion = ledger.suspicion(&request(HARMFUL), 1_000 + DOUBT_MS);
+        let suspicion = ledger.suspicion(&request(HARMFUL), 1_000 + AMBIGUITY_GRACE_MS);
         assert!(
             matches!(suspicion, Suspicion::Barred { .. }),
-            "{honest_ends:?}: {suspicion:?}"
+            "{harmless_ends:?}: {suspicion:?}"
         );
     }
 }
 
-/// Words of other nodes on the same end may be on their way: one that had company at all its ends is neither run
-/// nor barred until they had time to come.
+/// Reports of other nodes on the same end may still arrive: a request with other requests at all its earlier ends is
+/// neither run nor barred until they had time to.
 #[test]
-fn a_request_that_was_never_alone_is_judged_when_all_had_time_to_tell() {
+fn a_request_that_was_never_alone_waits_for_reports_of_other_nodes() {
     let mut ledger = ledger();
     for (backend, running) in [("x", [7, 2].as_slice()), ("y", &[8, 2]), ("z", &[2])] {
-        end(&mut ledger, backend, running);
+        end_backend(&mut ledger, backend, running);
     }
-    let waits = Suspicion::Suspected {
+    let awaiting_reports = Suspicion::Suspected {
         ends: 3,
         runs_left: 0,
     };
-    assert_eq!(ledger.suspicion(&request(2), 1_000), waits);
-    let settled = 1_000 + SETTLING_MS;
-    assert_eq!(ledger.suspicion(&request(2), settled - 1), waits);
-    assert_ne!(ledger.suspicion(&request(2), settled), waits);
+    assert_eq!(ledger.suspicion(&request(2), 1_000), awaiting_reports);
+    let settled = 1_000 + REPORT_WAIT_MS;
+    assert_eq!(ledger.suspicion(&request(2), settled - 1), awaiting_reports);
+    assert_ne!(ledger.suspicion(&request(2), settled), awaiting_reports);
 }
 
-/// Two harmful ones that came together are not sent on for ever while it is not clear which one it is.
+/// Two harmful requests that came together are not sent indefinitely while it is unclear which one is the cause.
 #[test]
-fn doubt_between_requests_with_the_same_ends_does_not_last() {
+fn ambiguity_between_requests_with_identical_ends_is_limited_in_time() {
     let mut ledger = ledger();
     for backend in ["x", "y", "z"] {
-        end(&mut ledger, backend, &[HARMFUL, 2]);
+        end_backend(&mut ledger, backend, &[HARMFUL, 2]);
     }
     let barred_at = |now| {
         let suspicion = ledger.suspicion(&request(HARMFUL), now);
         matches!(suspicion, Suspicion::Barred { .. })
     };
-    assert!(!barred_at(1_000 + DOUBT_MS - 1));
-    assert!(barred_at(1_000 + DOUBT_MS));
+    assert!(!barred_at(1_000 + AMBIGUITY_GRACE_MS - 1));
+    assert!(barred_at(1_000 + AMBIGUITY_GRACE_MS));
 }
 
 #[test]
-fn an_answer_clears_a_request_and_a_living_back_end_is_not_held_against_any() {
+fn an_answer_clears_a_request_and_a_live_back_end_retracts_its_ends() {
     let mut ledger = ledger();
-    end(&mut ledger, "x", &[HARMFUL, 2]);
-    end(&mut ledger, "y", &[HARMFUL]);
-    end(&mut ledger, "z", &[HARMFUL]);
+    end_backend(&mut ledger, "x", &[HARMFUL, 2]);
+    end_backend(&mut ledger, "y", &[HARMFUL]);
+    end_backend(&mut ledger, "z", &[HARMFUL]);
     assert!(ledger.clear(&request(2)));
     assert!(!ledger.clear(&request(2)));
     assert!(ledger.retract_ends_at(&BackendId::from("z")));
@@ -394,7 +415,7 @@
     assert!(!is_barred(&ledger, HARMFUL));
     assert!(ledger.clear(&request(HARMFUL)));
     assert!(ledger.is_empty());
-    end(&mut ledger, "v", &[3]);
+    end_backend(&mut ledger, "v", &[3]);
     assert!(ledger.retract_ends_at(&BackendId::from("v")));
     assert!(ledger.is_empty());
     let forgotten = ForgottenRequests {
@@ -405,34 +426,35 @@
     assert_eq!(ledger.forgotten(), forgotten);
 }
 
-/// A flood of different requests that each end one back end pushes out no barred one.
+/// A flood of different requests that each end one back end does not evict a barred request.
 #[test]
 fn memory_is_bounded_and_barred_requests_stay_longest() {
     let mut ledger = ledger();
     for backend in ["x", "y", "z"] {
-        end(&mut ledger, backend, &[HARMFUL]);
+        end_backend(&mut ledger, backend, &[HARMFUL]);
     }
-    for number in 10..(10 * MOST_REQUESTS as u128) {
-        end(&mut ledger, &format!("b{number}"), &[number]);
+    for number in 10..(10 * MAX_REQUESTS as u128) {
+        end_backend(&mut ledger, &format!("b{number}"), &[number]);
     }
-    assert_eq!(ledger.len(), MOST_REQUESTS);
+    assert_eq!(ledger.len(), MAX_REQUESTS);
     assert!(is_barred(&ledger, HARMFUL));
-    let came = 10 * MOST_REQUESTS as u64 - 10;
-    assert_eq!(
-        ledger.forgotten().evicted,
-        came - (MOST_REQUESTS as u64 - 1)
-    );
+    let came = 10 * MAX_REQUESTS as u64 - 10;
+    assert_eq!(ledger.forgotten().evicted, came - (MAX_REQUESTS as u64 - 1));
 }
 
 #[test]
-fn what_is_not_heard_of_for_long_is_forgotten_and_what_comes_again_is_not() {
+fn requests_expire_without_retries_and_are_kept_with_them() {
     let mut ledger = ledger();
     for backend in ["x", "y", "z"] {
-        end(&mut ledger, backend, &[HARMFUL, 3]);
+        end_backend(&mut ledger, backend, &[HARMFUL, 3]);
     }
-    end(&mut ledger, "w", &[HARMFUL]);
+    end_backend(&mut ledger, "w", &[HARMFUL]);
     ledger.forget_old(HOUR_MS);
-    assert_eq!(ledger.len(), 1, "a suspected one is forgotten sooner");
+    assert_eq!(
+        ledger.len(),
+        1,
+        "a suspected request is forgotten sooner than a barred one"
+    );
     ledger.record_retry(&request(HARMFUL), HOUR_MS);
     ledger.forget_old(HOUR_MS + HOUR_MS / 2);
     assert!(is_barred(&ledger, HARMFUL));
@@ -442,7 +464,7 @@
 }
 
 #[test]
-fn a_fingerprint_is_read_as_it_is_written() {
+fn a_fingerprint_round_trips_through_its_text_form() {
     let text = request(0x00ab_cdef).to_string();
     assert_eq!(Fingerprint::parse(&text), Some(request(0x00ab_cdef)));
     for wrong in [
@@ -468,51 +490,52 @@
     state
 }
 
-/// A node that starts reads a checkpoint, and with it what is known against requests.
+/// A starting node learns of barred requests from a checkpoint.
 #[test]
-fn a_checkpoint_keeps_what_is_known_against_requests() {
+fn a_checkpoint_keeps_barred_requests() {
     let checkpoint = barred_state().checkpoint(7);
     let read = ControlCheckpoint::decode(&checkpoint.encode()).unwrap();
     let state = ControlState::restored(MachineName::from("c"), read, 9_000);
     assert!(is_barred(state.crashes(), HARMFUL));
 }
 
-/// Which of two with as many ends was the first to have them decides; a node that starts must not turn it round.
+/// Between two requests with equally many ends, the one that reached them first is taken as the cause. A node that
+/// restores a checkpoint must not reverse this order.
 #[test]
-fn a_checkpoint_keeps_who_had_its_ends_first() {
-    let (harmful, honest) = (20, 3);
+fn a_checkpoint_keeps_the_order_of_ends() {
+    let (harmful, harmless) = (20, 3);
     let mut ledger = ledger();
     for (backend, running) in [
-        ("x", [harmful, honest]),
+        ("x", [harmful, harmless]),
         ("y", [harmful, 7]),
         ("z", [harmful, 8]),
     ] {
-        end(&mut ledger, backend, &running);
+        end_backend(&mut ledger, backend, &running);
     }
-    for (backend, running) in [("u", [9, honest]), ("v", [9, honest])] {
-        end(&mut ledger, backend, &running);
+    for (backend, running) in [("u", [9, harmless]), ("v", [9, harmless])] {
+        end_backend(&mut ledger, backend, &running);
     }
     let restored = CrashLedger::restored(MachineName::from("c"), ledger.checkpoint(), 5_000);
-    let settled = 5_000 + SETTLING_MS;
+    let settled = 5_000 + REPORT_WAIT_MS;
     let suspicion = |number| restored.suspicion(&request(number), settled);
     assert!(matches!(suspicion(harmful), Suspicion::Barred { .. }));
-    let of_honest = suspicion(honest);
+    let of_harmless = suspicion(harmless);
     assert!(
-        !matches!(of_honest, Suspicion::Barred { .. }),
-        "{of_honest:?}"
+        !matches!(of_harmless, Suspicion::Barred { .. }),
+        "{of_harmless:?}"
     );
 }
 
-/// While a release goes on, nodes read checkpoints of nodes that know nothing of such requests.
+/// During a rolling upgrade, nodes read checkpoints of an older build without suspected requests.
 #[test]
-fn a_checkpoint_of_the_form_before_is_read_too() {
+fn a_checkpoint_of_the_previous_form_is_readable() {
     let mut checkpoint = ControlState::new(MachineName::from("a")).checkpoint(7);
     checkpoint.form = 2;
     let mut bytes = checkpoint.encode();
     assert_eq!(
         bytes.pop(),
         Some(0),
-        "the empty list that the form before lacks"
+        "the empty list that the previous form lacks"
     );
     let read = ControlCheckpoint::decode(&bytes).unwrap();
     assert_eq!(read, checkpoint);
