--- a/crates/rollout/src/occupancy.rs
+++ b/crates/rollout/src/occupancy.rs
@@ -1,4 +1,4 @@
-//! Places that are taken on back ends, as the nodes that run batches tell each other.
+//! How many slots of back ends are occupied, as the nodes that run batches report to each other.
 
 use std::collections::BTreeMap;
 
@@ -8,27 +8,27 @@
 use crate::ids::{BackendId, NodeId};
 use crate::stored::{Stored, UnreadableValue};
 
-/// A node's running items, by back end.
+/// Report of a node on its running items, by back end.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OccupancyRecord {
-    /// The node.
+    /// The node that reports.
     pub node: NodeId,
-    /// How many of its items run on each back end.
+    /// Number of its items that run on each back end.
     pub running: BTreeMap<BackendId, u32>,
-    /// What else it knows of back ends. Last, so that builds without it read what stands before.
+    /// Further data on back ends. This is the last field, so that builds without it can decode the fields before it.
     pub details: BTreeMap<BackendId, BackendDetail>,
 }
 
-/// What a node tells the others of a back end.
+/// Data on a back end that a node reports besides its running items.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendDetail {
-    /// Tokens that the node's items there are expected to hold in memory when they end.
+    /// Number of tokens that the node's items there are expected to hold in memory when they end.
     pub expected_tokens: u32,
-    /// Lasting time between two events of a stream there, in microseconds, if the node knows it.
+    /// Typical time between two events of a stream there, in microseconds; `None` if the node does not know it.
     pub event_gap_us: Option<u32>,
 }
 
-/// The record as builds without details write it.
+/// The record as builds without `details` write it.
 #[derive(Deserialize)]
 struct PlainOccupancyRecord {
     node: NodeId,
@@ -55,61 +55,68 @@
     }
 }
 
-/// What each node last told.
+/// The latest report of each node.
 #[derive(Debug, Default)]
 pub struct Occupancy {
-    nodes: BTreeMap<NodeId, Told>,
+    nodes: BTreeMap<NodeId, NodeReport>,
 }
 
 #[derive(Debug)]
-struct Told {
+struct NodeReport {
     running: BTreeMap<BackendId, u32>,
     details: BTreeMap<BackendId, BackendDetail>,
-    at: Millis,
+    received_at: Millis,
 }
 
 impl Occupancy {
-    /// Takes the next record, which replaces what its node told before.
+    /// Applies a record that arrives at `now`; it replaces the earlier report of its node.
     pub fn apply(&mut self, record: OccupancyRecord, now: Millis) {
-        let told = Told {
+        let report = NodeReport {
             running: record.running,
             details: record.details,
-            at: now,
+            received_at: now,
         };
-        self.nodes.insert(record.node, told);
+        self.nodes.insert(record.node, report);
     }
 
-    /// Items that run on each back end, of nodes that told of theirs since `since` and that `counts`
-    /// takes.
+    /// Number of items that run on each back end, summed over the nodes that reported at or after `since` and that
+    /// `includes` accepts.
     pub fn running(
         &self,
         since: Millis,
-        counts: impl Fn(&NodeId) -> bool,
+        includes: impl Fn(&NodeId) -> bool,
     ) -> BTreeMap<BackendId, u32> {
         let mut running = BTreeMap::new();
-        let recent = self.nodes.iter().filter(|(_, told)| told.at >= since);
-        for (_, told) in recent.filter(|(node, _)| counts(node)) {
-            for (backend, count) in &told.running {
+        let recent = self
+            .nodes
+            .iter()
+            .filter(|(_, report)| report.received_at >= since);
+        for (_, report) in recent.filter(|(node, _)| includes(node)) {
+            for (backend, count) in &report.running {
                 *running.entry(backend.clone()).or_default() += count;
             }
         }
         running
     }
 
-    /// What nodes that told of it since `since`, and that `counts` takes, know of each back end.
+    /// The details on back ends from the nodes that reported at or after `since` and that `includes` accepts. A back end
+    /// occurs once for each such node.
     pub fn details(
         &self,
         since: Millis,
-        counts: impl Fn(&NodeId) -> bool,
+        includes: impl Fn(&NodeId) -> bool,
     ) -> impl Iterator<Item = (&BackendId, &BackendDetail)> {
-        let recent = self.nodes.iter().filter(move |(_, told)| told.at >= since);
+        let recent = self
+            .nodes
+            .iter()
+            .filter(move |(_, report)| report.received_at >= since);
         recent
-            .filter(move |(node, _)| counts(node))
-            .flat_map(|(_, told)| &told.details)
+            .filter(move |(node, _)| includes(node))
+            .flat_map(|(_, report)| &report.details)
     }
 
-    /// Forgets nodes that told nothing since `since`.
+    /// Forgets nodes that did not report at or after `since`.
     pub fn forget_before(&mut self, since: Millis) {
-        self.nodes.retain(|_, told| told.at >= since);
+        self.nodes.retain(|_, report| report.received_at >= since);
     }
 }
--- a/crates/rollout/src/sizing.rs
+++ b/crates/rollout/src/sizing.rs
@@ -1,68 +1,69 @@
-//! How many back ends of a pool are ordered in each zone, where the platform starts and stops them on demand.
+//! Autoscaling: how many back ends of a pool are ordered in each zone where the platform starts and stops them on
+//! demand.
 //!
-//! A pool grows when its slots are all running_items for a while and a batch is about to be late: work then waits for
-//! slots that it needs now. Places that are all running_items say nothing alone, as every step of a trainer begins with
-//! a burst that takes them.
+//! A pool grows when nearly all its slots are occupied for a while and a batch is about to be late: work then waits for
+//! slots that it needs now. Occupied slots alone are no reason to grow, as every step of a trainer begins with a burst
+//! that occupies them all.
 
 use std::collections::BTreeMap;
 
 use crate::Millis;
 use crate::ids::{PoolName, ZoneName};
 
-/// What may be ordered of a pool.
+/// Limits and prices for scaling a pool.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PoolScaling {
-    /// Fewest back ends in a zone.
+    /// Minimum number of back ends per zone.
     pub min_backends: u32,
-    /// Most back ends in a zone.
+    /// Maximum number of back ends per zone.
     pub max_backends: u32,
-    /// Milliseconds from an order until a new back end serves.
+    /// Milliseconds from an order until a new back end serves; the pool does not grow again sooner.
     pub boot_ms: Millis,
-    /// What a second of a back end costs in each zone, relative to others.
+    /// Relative price of a back end per second in each zone. Back ends are added only in these zones, the cheapest first.
     pub zone_prices: BTreeMap<ZoneName, f64>,
 }
 
-/// Back ends that are wanted in each zone.
+/// Number of back ends in each zone.
 pub type ZoneSizes = BTreeMap<ZoneName, u32>;
 
-/// A pool as it is now.
+/// The current load of a pool.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PoolLoad {
-    /// Back ends that take work, by zone.
+    /// Number of back ends that accept work, by zone.
     pub ready: ZoneSizes,
-    /// Places of all of them.
+    /// Total number of slots of these back ends.
     pub slots: u32,
-    /// Items that run there.
+    /// Number of items that run on these back ends.
     pub running_items: u32,
-    /// Whether an open batch has used up most of the time within which it is due.
+    /// Whether an open batch has used up most of the time until it is due.
     pub is_behind: bool,
 }
 
-/// Share of the slots that are running_items from which on work is running_items to wait: slots fall free and are running_items again
-/// all the time.
+/// Share of occupied slots from which a pool counts as full. It is below 1 because slots become free and are occupied
+/// again all the time.
 const FULL_SHARE: f64 = 0.9;
-/// Time for which a pool must be full to grow: a burst that ends sooner is over before new back ends serve.
-const FULL_FOR_MS: Millis = 600;
-/// Share by which a pool grows at a time.
-const GROWTH: f64 = 0.25;
+/// Time for which a pool must be full before it grows: a shorter burst is over before new back ends serve.
+const MIN_FULL_MS: Millis = 600;
+/// Share of its size by which a pool grows at a time.
+const GROWTH_SHARE: f64 = 0.25;
 
-/// Decides the sizes of a pool.
+/// Decides when a pool grows, and in which zones.
 #[derive(Debug, Default)]
 pub struct PoolSizer {
     full_since: Option<Millis>,
     grown_at: Option<Millis>,
-    /// Most back ends that each zone was seen to have.
-    most_seen: ZoneSizes,
+    /// Largest number of back ends observed in each zone.
+    max_observed: ZoneSizes,
 }
 
 impl PoolSizer {
-    /// So many back ends take work now. Those that are missing for a moment (ended, or not listed) must not be ordered
-    /// away: a size is that of a whole zone.
+    /// Records the number of back ends that accept work now. An order sets the size of a whole zone, so back ends that are
+    /// temporarily missing (crashed or not listed) must still be counted, or the order would remove others.
     pub fn observe_ready(&mut self, ready: &ZoneSizes) {
-        raise_to(&mut self.most_seen, ready);
+        raise_to(&mut self.max_observed, ready);
     }
 
-    /// The sizes to be ordered, given those ordered last; `None` if nothing is to change.
+    /// Plans the sizes to order, given those ordered last and the time `now` in milliseconds; `None` if nothing changes.
     pub fn plan(
         &mut self,
         scaling: &PoolScaling,
@@ -79,18 +80,18 @@
         let has_booted = self
             .grown_at
             .is_none_or(|at| now.saturating_sub(at) > scaling.boot_ms);
-        if now.saturating_sub(full_since) < FULL_FOR_MS || !has_booted {
+        if now.saturating_sub(full_since) < MIN_FULL_MS || !has_booted {
             return None;
         }
         self.grown_at = Some(now);
         self.full_since = None;
         let mut base = ordered.clone();
-        raise_to(&mut base, &self.most_seen);
+        raise_to(&mut base, &self.max_observed);
         Some(grown(scaling, &base))
     }
 }
 
-/// Raises sizes to those that are larger elsewhere.
+/// Raises each size to the one in `others` if that is larger.
 fn raise_to(sizes: &mut ZoneSizes, others: &ZoneSizes) {
     for (zone, other) in others {
         let size = sizes.entry(zone.clone()).or_default();
@@ -98,10 +99,10 @@
     }
 }
 
-/// Sizes with a share more back ends, cheapest zones first, as far as each may grow.
+/// The sizes after growing by [`GROWTH_SHARE`], cheapest zones first, each up to its maximum.
 fn grown(scaling: &PoolScaling, ordered: &ZoneSizes) -> ZoneSizes {
     let total: u32 = ordered.values().sum();
-    let mut missing = (f64::from(total) * GROWTH).ceil() as u32;
+    let mut missing = (f64::from(total) * GROWTH_SHARE).ceil() as u32;
     let mut zones: Vec<(&ZoneName, f64)> = scaling
         .zone_prices
         .iter()
@@ -118,5 +119,5 @@
     sizes
 }
 
-/// Sizes that were ordered, by pool.
+/// The sizes that were ordered last, by pool.
 pub type OrderedSizes = BTreeMap<PoolName, ZoneSizes>;
--- a/crates/rollout/src/slow_start.rs
+++ b/crates/rollout/src/slow_start.rs
@@ -1,11 +1,11 @@
-//! Slow start: a back end that has just started, or has come back, is cold for a while and takes few requests.
+//! Slow start: a back end that has just started or come back is cold for a while and receives few requests.
 //!
-//! The load that this answers: back ends of a whole zone come back together with every place free, and all nodes
-//! that have work send it there at once. The rate that a cold back end bears is a sum over all nodes, which do not
-//! ask each other before they send. So each cold back end has one node at a time that may give it items, chosen by
-//! rendezvous hashing among those that run batches, and a sample of the nodes that may send it calls. A node that
-//! is chosen uses a half of the rate (items) or one request a second (calls): nodes that know of others at different
-//! times may choose two of them, and the sum holds then too.
+//! When the back ends of a whole zone come back together, all their slots are free, and all nodes with work would send
+//! it there at once. The rate limit of a cold back end applies to the sum over all nodes, which do not coordinate
+//! before they send. So for each cold back end one node at a time may send items, chosen by rendezvous hashing among
+//! the nodes that run batches, and a sample of all nodes may send calls. The chosen node uses half of the rate (items),
+//! and each sampled one sends one request per second (calls). Nodes that learn of each other at different times may
+//! choose two different ones; the sum still holds then.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -14,51 +14,51 @@
 use crate::Millis;
 use crate::ids::{BackendId, MachineName, NodeId};
 
-/// Length of the window in which requests to a cold back end are counted; its rate is one a second.
+/// Length of the window in which requests to a cold back end are counted; limits are per second.
 const WINDOW_MS: Millis = 1_000;
-/// Share of the rate that the node chosen for items uses: two may take themselves for the chosen one.
+/// Share of the rate that the node chosen for items uses: two nodes may each take themselves for the chosen one.
 const ITEM_SHARE: f64 = 0.5;
-/// Share of the rate for which nodes are sampled that may send calls, one each second: how many a sample has varies
-/// by some times its root.
+/// Share of the rate that determines how many nodes are sampled to send calls, one per second each. It leaves a margin
+/// as the size of a sample varies by a few times its square root.
 const CALL_SHARE: f64 = 0.25;
 
-/// What the back ends of a pool bear while they are cold.
+/// Limit for requests to the back ends of a pool while they are cold.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdLimit {
-    /// Time for which one is cold after it came back, in milliseconds.
+    /// Time for which a back end is cold after it started or came back, in milliseconds.
     pub duration_ms: Millis,
-    /// Requests a second that it takes meanwhile from all nodes together.
+    /// Requests per second that a cold back end may receive from all nodes together.
     pub requests_per_s: f64,
 }
 
-/// What a request is to a cold back end.
+/// The kind of a request to a back end and the node that sends it, which determine the share of the limit.
 #[derive(Debug, Clone, Copy)]
 pub enum Sender<'a> {
-    /// An item of a batch; `owners` are the nodes that run batches, as far as is known here.
+    /// An item of a batch.
     Item {
-        /// This node.
+        /// The node that sends it.
         node: &'a NodeId,
-        /// All that run batches.
+        /// All nodes that run batches, as far as this node knows.
         owners: &'a [NodeId],
     },
-    /// A call of a caller, or a reward call.
+    /// A call from a caller, or a reward call.
     Call {
-        /// This machine.
+        /// The machine of this node.
         machine: &'a MachineName,
-        /// How many machines there are, as far as is known here.
+        /// Number of machines, as far as this node knows.
         machines: usize,
     },
 }
 
 impl Sender<'_> {
-    /// Requests that this node may send a cold back end in a second.
+    /// Number of requests that this node may send to a cold back end per second.
     fn budget(&self, backend: &BackendId, limit: &ColdLimit) -> usize {
         match self {
-            Self::Item { node, owners } if is_chosen(backend, node, owners) => {
+            Self::Item { node, owners } if is_item_sender(backend, node, owners) => {
                 ((limit.requests_per_s * ITEM_SHARE) as usize).max(1)
             }
             Self::Call { machine, machines }
-                if is_sampled(backend, machine, *machines, limit.requests_per_s) =>
+                if is_call_sender(backend, machine, *machines, limit.requests_per_s) =>
             {
                 1
             }
@@ -67,8 +67,8 @@
     }
 }
 
-/// Whether `node` has the highest hash among all that run batches, itself among them.
-fn is_chosen(backend: &BackendId, node: &NodeId, owners: &[NodeId]) -> bool {
+/// Whether `node` has the highest hash among `owners` and itself.
+fn is_item_sender(backend: &BackendId, node: &NodeId, owners: &[NodeId]) -> bool {
     let rank = |node: &NodeId| (xxh3_64(format!("{backend} {node}").as_bytes()), node.life);
     let own = rank(node);
     owners
@@ -76,7 +76,9 @@
         .all(|other| other == node || rank(other) < own)
 }
 
-fn is_sampled(
+/// Whether `machine` is in the sample of machines that may send calls to a back end. Its expected size is
+/// [`CALL_SHARE`] of the rate.
+fn is_call_sender(
     backend: &BackendId,
     machine: &MachineName,
     machines: usize,
@@ -87,23 +89,23 @@
     draw < chance
 }
 
-/// A back end that is cold.
+/// The cold time of a back end and the latest requests to it.
 #[derive(Debug, Default)]
-struct Cold {
+struct ColdBackEnd {
     until: Millis,
-    /// When this node sent its requests of the last second.
+    /// Send times of this node's requests of the last second.
     sent: VecDeque<Millis>,
 }
 
-/// The back ends that are cold, as this node knows, and what it has sent them.
+/// The cold back ends that this node knows of, and its requests to them.
 #[derive(Debug, Default)]
 pub struct SlowStart {
-    cold: BTreeMap<BackendId, Cold>,
+    cold: BTreeMap<BackendId, ColdBackEnd>,
 }
 
 impl SlowStart {
-    /// A back end says for how long it is cold. That it is warm may be an older word than what made it a suspect,
-    /// so this never ends slow start early.
+    /// Records a report of a back end on how much longer it is cold. A report of 0 may be older than the reason to
+    /// [suspect](Self::suspect_cold) it, so a report never shortens slow start.
     pub fn report_cold(&mut self, backend: &BackendId, cold_left_ms: Millis, now: Millis) {
         if cold_left_ms > 0 {
             let cold = self.cold.entry(backend.clone()).or_default();
@@ -111,7 +113,7 @@
         }
     }
 
-    /// A back end may have become cold without a word.
+    /// Treats a back end as cold from now on that may have become cold without reporting it.
     pub fn suspect_cold(&mut self, backend: &BackendId, limit: &ColdLimit, now: Millis) {
         let cold = self.cold.entry(backend.clone()).or_default();
         cold.until = cold.until.max(now + limit.duration_ms);
@@ -122,7 +124,8 @@
         self.cold.get(backend).is_some_and(|cold| now < cold.until)
     }
 
-    /// Requests that this node may send a back end now; `None` if it is warm, so that slow start sets no limit.
+    /// Number of requests that this node may send to a back end now; `None` if slow start sets no limit, as the back end
+    /// is warm or its pool has no limit.
     pub fn allowance(
         &self,
         backend: &BackendId,
@@ -137,7 +140,7 @@
         Some(sender.budget(backend, limit).saturating_sub(recent) as u32)
     }
 
-    /// A request is sent.
+    /// Records that this node sent a request to a back end.
     pub fn record_sent(&mut self, backend: &BackendId, now: Millis) {
         let Some(cold) = self.cold.get_mut(backend) else {
             return;
@@ -147,7 +150,7 @@
         cold.sent.push_back(now);
     }
 
-    /// Forgets back ends that `keep` does not name, and those that are warm.
+    /// Forgets back ends that `keep` rejects, and those that are warm.
     pub fn retain(&mut self, keep: impl Fn(&BackendId) -> bool, now: Millis) {
         self.cold
             .retain(|backend, cold| keep(backend) && now < cold.until);
--- a/crates/rollout/src/usage.rs
+++ b/crates/rollout/src/usage.rs
@@ -1,9 +1,9 @@
-//! Metering: how many requests of each tenant back ends began in each window of the time of day.
+//! Metering: how many requests of each tenant the back ends began in each time window.
 //!
-//! Every node counts what it sends and appends its counts; they only grow, so that a record which is appended
-//! twice or late changes nothing. The holder of the lease for orders adds them up once a window is over for a
-//! while, and writes the sum down before it reports it: what stands first in the log is what was decided, so
-//! that no two holders report different sums of a window.
+//! Every node counts the requests that it sends and appends its counts to the log. Counts only grow, so a record that
+//! is appended twice or late changes nothing. The holder of the order lease adds them up some time after a window has
+//! ended, and appends the sum before it reports it. The first sum in the log counts, so that two lease holders never
+//! report different sums of one window.
 
 use std::collections::BTreeMap;
 
@@ -12,28 +12,28 @@
 use crate::ids::{NodeId, TenantName};
 use crate::stored::Stored;
 
-/// Number of a window: windows are counted from the beginning of 1970.
+/// Number of a window, counted from the Unix epoch.
 pub type UsageWindow = u64;
 
-/// Requests of each tenant.
+/// Number of requests of each tenant.
 pub type RequestCounts = BTreeMap<TenantName, u64>;
 
-/// Decided windows that are remembered: reports are due within a few windows, and are tried for longer.
+/// Number of decided windows that are kept: reports are due within a few windows, and are retried for longer.
 const KEPT_WINDOWS: usize = 24;
 
-/// The window in which a moment lies, both in milliseconds of the time of day.
+/// The window that contains the Unix time `unix_ms`; `window_ms` is the length of a window. Both are in milliseconds.
 pub fn window_at(unix_ms: u64, window_ms: u64) -> UsageWindow {
     unix_ms / window_ms.max(1)
 }
 
-/// What a node has counted in a window so far.
+/// The requests that a node has counted in a window so far.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageRecord {
-    /// The node.
+    /// The node that counted.
     pub node: NodeId,
-    /// The window.
+    /// The window in which the requests were counted.
     pub window: UsageWindow,
-    /// Its counts, which replace those of its earlier records of the window.
+    /// Its counts, which include those of its earlier records of the window.
     pub counts: RequestCounts,
 }
 
@@ -41,7 +41,7 @@
     const DESCRIPTION: &'static str = "a record of usage";
 }
 
-/// What a node counts itself.
+/// Counts the requests that this node sends, by window and tenant.
 #[derive(Debug, Default)]
 pub struct UsageMeter {
     windows: BTreeMap<UsageWindow, MeteredWindow>,
@@ -51,19 +51,19 @@
 struct MeteredWindow {
     counts: RequestCounts,
     total: u64,
-    /// Requests in the newest record that certainly stands in the log.
+    /// Number of requests in the newest record that is known to be in the log.
     written: u64,
 }
 
 impl UsageMeter {
-    /// A back end began a request of a tenant.
+    /// Counts a request of a tenant that a back end began.
     pub fn count_request(&mut self, tenant: &TenantName, window: UsageWindow) {
         let metered = self.windows.entry(window).or_default();
         *metered.counts.entry(tenant.clone()).or_default() += 1;
         metered.total += 1;
     }
 
-    /// Records of all windows of which the log doesn't hold everything.
+    /// The records of all windows with requests that are not known to be in the log.
     pub fn unwritten_records(&self, node: &NodeId) -> Vec<UsageRecord> {
         let windows = self.windows.iter();
         let unwritten = windows.filter(|(_, metered)| metered.written < metered.total);
@@ -76,7 +76,7 @@
             .collect()
     }
 
-    /// These records stand in the log.
+    /// Marks these records as present in the log.
     pub fn mark_written(&mut self, records: &[UsageRecord]) {
         for record in records {
             if let Some(metered) = self.windows.get_mut(&record.window) {
@@ -86,21 +86,21 @@
         }
     }
 
-    /// Forgets written windows before `window`.
+    /// Forgets windows before `window` whose counts are all in the log.
     pub fn forget_before(&mut self, window: UsageWindow) {
         self.windows
             .retain(|at, metered| *at >= window || metered.written < metered.total);
     }
 }
 
-/// The counts of all nodes, as one partition of the usage stream tells.
+/// The counts of all nodes from one partition of the usage stream.
 #[derive(Debug, Default)]
 pub struct UsageTotals {
     windows: BTreeMap<UsageWindow, BTreeMap<NodeId, RequestCounts>>,
 }
 
 impl UsageTotals {
-    /// Takes the next record.
+    /// Applies a record; for each tenant the highest count of a node is kept.
     pub fn apply(&mut self, record: UsageRecord) {
         let nodes = self.windows.entry(record.window).or_default();
         let counts = nodes.entry(record.node).or_default();
@@ -118,7 +118,7 @@
         }
     }
 
-    /// The oldest window of which something was counted.
+    /// The oldest window with counts.
     pub fn oldest(&self) -> Option<UsageWindow> {
         self.windows.keys().next().copied()
     }
@@ -129,35 +129,36 @@
     }
 }
 
-/// The sum of a window that is to be reported, and whether it was.
+/// The decided sum of a window, and whether its report is settled.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DecidedUsage {
-    /// The window.
+    /// The window that the sum is for.
     pub window: UsageWindow,
-    /// Requests of each tenant.
+    /// Number of requests of each tenant, summed over all nodes.
     pub counts: RequestCounts,
-    /// Whether the report is known to have arrived, or was given up.
+    /// Whether the report is known to have arrived or has been abandoned.
     pub is_settled: bool,
 }
 
-/// The windows that were decided, in the order of the log.
+/// The decided windows, in the order of the log.
 #[derive(Debug, Default)]
 pub struct UsageLedger {
     decided: Vec<DecidedUsage>,
 }
 
 impl UsageLedger {
-    /// The ledger that a checkpoint tells of.
+    /// Restores a ledger from a checkpoint.
     pub fn restored(decided: Vec<DecidedUsage>) -> Self {
         Self { decided }
     }
 
-    /// Windows that are remembered, oldest first.
+    /// The windows that are kept, oldest first.
     pub fn decided(&self) -> &[DecidedUsage] {
         &self.decided
     }
 
-    /// A holder decided a window; counts if it is newer than all before it: windows are decided in turn.
+    /// Applies the decision of a lease holder on a window. It is ignored unless the window is newer than all decided ones,
+    /// as windows are decided in order.
     pub fn decide(&mut self, window: UsageWindow, counts: RequestCounts) {
         if self.newest().is_some_and(|newest| newest >= window) {
             return;
@@ -171,7 +172,7 @@
         self.decided.drain(..surplus);
     }
 
-    /// Nothing more is to be done about a window.
+    /// Marks a window as settled: it needs no further report.
     pub fn settle(&mut self, window: UsageWindow) {
         let mut decided = self.decided.iter_mut();
         if let Some(decided) = decided.find(|decided| decided.window == window) {
@@ -179,12 +180,12 @@
         }
     }
 
-    /// The newest window that was decided.
+    /// The newest decided window.
     pub fn newest(&self) -> Option<UsageWindow> {
         self.decided.last().map(|decided| decided.window)
     }
 
-    /// The oldest window that is still to be reported.
+    /// The oldest decided window that is not settled.
     pub fn oldest_unsettled(&self) -> Option<&DecidedUsage> {
         self.decided.iter().find(|decided| !decided.is_settled)
     }
--- a/crates/rollout/tests/back_end_speed.rs
+++ b/crates/rollout/tests/back_end_speed.rs
@@ -1,4 +1,4 @@
-//! How long a back end takes for an event: what lasts, under all that disturbs it for moments.
+//! Tests the estimate of a back end's typical gap between two events under short disturbances.
 
 use havenstage_rollout::Millis;
 use havenstage_rollout::back_end_speed::{
@@ -7,28 +7,28 @@
 
 /// Gap between two events of an idle engine of the usual kind.
 const USUAL_GAP_MS: f64 = 46.4;
-/// Gaps of the quicker and of the slower engines, by the usual one.
+/// Gaps of faster and of slower engines, relative to the usual one.
 const QUICK: f64 = 0.7;
 const SLOW: f64 = 1.7;
-/// A neighbour makes an engine slow by so much, for so long, so often: for some 0.15 of the time.
-const SPELL_FACTOR: f64 = 2.5;
-const SPELL_MS: Millis = 600;
-const SPELL_EVERY_MS: f64 = 4_000.0;
-/// A load of weights.
+/// A busy neighbour slows an engine down by this factor, for this time, at this mean interval: some 0.15 of the time.
+const DISTURBANCE_FACTOR: f64 = 2.5;
+const DISTURBANCE_MS: Millis = 600;
+const DISTURBANCE_INTERVAL_MS: f64 = 4_000.0;
+/// Pause of all streams while an engine loads weights.
 const LOAD_MS: f64 = 900.0;
-/// Streams of a node at one engine.
+/// Number of streams of the node at one engine.
 const STREAMS: usize = 4;
 
-fn one(gap_ms: f64) -> EqualGaps {
+fn single_gap(gap_ms: f64) -> EqualGaps {
     EqualGaps { gap_ms, count: 1 }
 }
 
-/// Two exponential averages, the slow of which is what lasts: the other way that was weighed.
-struct TwoAverages {
+/// A slow exponential average of the gaps, for comparison with the median of window medians.
+struct SlowAverage {
     typical_gap_ms: Option<f64>,
 }
 
-impl TwoAverages {
+impl SlowAverage {
     fn record_gap(&mut self, gap_ms: f64) {
         let mean_ms = self.typical_gap_ms.unwrap_or(gap_ms);
         self.typical_gap_ms = Some(mean_ms + 0.005 * (gap_ms - mean_ms));
@@ -37,52 +37,53 @@
 
 struct Replay {
     speed: BackEndSpeed,
-    averages: TwoAverages,
+    slow_average: SlowAverage,
     now: Millis,
-    spell_ends: Millis,
-    draws: u64,
+    disturbed_until: Millis,
+    random_state: u64,
 }
 
 impl Replay {
     fn start(seed: u64) -> Self {
         Self {
             speed: BackEndSpeed::default(),
-            averages: TwoAverages {
+            slow_average: SlowAverage {
                 typical_gap_ms: None,
             },
             now: 1_000,
-            spell_ends: 0,
-            draws: seed,
+            disturbed_until: 0,
+            random_state: seed,
         }
     }
 
-    /// A share in 0 to 1, from a linear congruential generator.
+    /// Draws a number from 0 to 1 with a linear congruential generator.
     fn draw(&mut self) -> f64 {
-        let next = self.draws.wrapping_mul(6_364_136_223_846_793_005);
-        self.draws = next.wrapping_add(1_442_695_040_888_963_407);
-        (self.draws >> 33) as f64 / (1_u64 << 31) as f64
+        let next = self.random_state.wrapping_mul(6_364_136_223_846_793_005);
+        self.random_state = next.wrapping_add(1_442_695_040_888_963_407);
+        (self.random_state >> 33) as f64 / (1_u64 << 31) as f64
     }
 
-    /// Streams for a time at an engine of a factor, with spells, others' prompts, and a load each 10 s.
+    /// Simulates streams for `time_ms` at an engine whose gaps are `factor` times the usual ones, with disturbances,
+    /// prompts of other requests, and a load of weights each 10 s.
     fn stream(&mut self, time_ms: Millis, factor: f64) {
         let until = self.now + time_ms;
         while self.now < until {
-            let spell = if self.now < self.spell_ends {
-                SPELL_FACTOR
+            let disturbance = if self.now < self.disturbed_until {
+                DISTURBANCE_FACTOR
             } else {
                 1.0
             };
             let prompt_ms = if self.draw() < 0.1 { 5.0 } else { 0.0 };
             let load_ms = if self.draw() < 0.005 { LOAD_MS } else { 0.0 };
             let noise = 0.9 + 0.2 * self.draw();
-            let gap_ms = USUAL_GAP_MS * factor * spell * noise + prompt_ms + load_ms;
+            let gap_ms = USUAL_GAP_MS * factor * disturbance * noise + prompt_ms + load_ms;
             self.now += gap_ms as Millis;
             for _ in 0..STREAMS {
-                self.speed.record_gaps(one(gap_ms), self.now);
-                self.averages.record_gap(gap_ms);
+                self.speed.record_gaps(single_gap(gap_ms), self.now);
+                self.slow_average.record_gap(gap_ms);
             }
-            if self.draw() < gap_ms / SPELL_EVERY_MS {
-                self.spell_ends = self.now + SPELL_MS;
+            if self.draw() < gap_ms / DISTURBANCE_INTERVAL_MS {
+                self.disturbed_until = self.now + DISTURBANCE_MS;
             }
         }
     }
@@ -92,28 +93,29 @@
     }
 }
 
-/// A move must pay by a fifth: what is off by more leads to moves that do not, which may be one of fifty.
+/// Items are moved if they gain a fifth. Estimates that are off by more lead to moves that do not pay; fewer than one
+/// in fifty may be.
 #[test]
-fn what_lasts_is_told_within_a_fifth_through_spells_prompts_and_loads() {
-    let (mut looks, mut far_off, mut far_off_of_averages) = (0, 0, 0);
+fn the_estimate_is_within_a_fifth_despite_disturbances_prompts_and_loads() {
+    let (mut samples, mut far_off, mut far_off_averages) = (0, 0, 0);
     for (seed, factor) in (0..30).flat_map(|seed| [(seed, QUICK), (seed, 1.0), (seed, SLOW)]) {
         let mut replay = Replay::start(seed);
         replay.stream(10_000, factor);
         for _ in 0..50 {
             replay.stream(1_000, factor);
             let off = |gap_ms: f64| (gap_ms / (USUAL_GAP_MS * factor) - 1.0).abs();
-            looks += 1;
+            samples += 1;
             far_off += usize::from(off(replay.typical_gap_ms()) > 0.2);
-            let average_ms = replay.averages.typical_gap_ms.unwrap();
-            far_off_of_averages += usize::from(off(average_ms) > 0.2);
+            let average_ms = replay.slow_average.typical_gap_ms.unwrap();
+            far_off_averages += usize::from(off(average_ms) > 0.2);
         }
     }
-    println!("off by a fifth: {far_off} of {looks}; two averages: {far_off_of_averages}");
-    assert!(far_off * 50 < looks, "{far_off} of {looks}");
+    println!("off by a fifth: {far_off} of {samples}; slow average: {far_off_averages}");
+    assert!(far_off * 50 < samples, "{far_off} of {samples}");
 }
 
 #[test]
-fn a_change_for_good_is_followed_within_two_seconds() {
+fn a_permanent_change_is_detected_within_two_seconds() {
     for (from, to) in [(1.0, SLOW), (SLOW, 1.0), (QUICK, SLOW), (SLOW, QUICK)] {
         let mut replay = Replay::start(7);
         replay.stream(30_000, from);
@@ -124,90 +126,90 @@
 }
 
 #[test]
-fn one_spell_does_not_change_what_lasts() {
+fn a_single_disturbance_does_not_change_the_estimate() {
     let mut speed = BackEndSpeed::default();
     for at in 0..200 {
-        speed.record_gaps(one(40.0), 40 * at);
+        speed.record_gaps(single_gap(40.0), 40 * at);
     }
     for at in 0..6 {
-        speed.record_gaps(one(100.0), 8_000 + 100 * at);
+        speed.record_gaps(single_gap(100.0), 8_000 + 100 * at);
     }
     assert_eq!(speed.typical_gap_ms(8_600), Some(40.0));
 }
 
 #[test]
-fn a_pause_for_a_prompt_does_not_make_a_back_end_slow() {
+fn a_pause_for_a_prompt_does_not_make_a_back_end_look_slow() {
     let mut speed = BackEndSpeed::default();
     let mut now = 0;
     for at in 0..200 {
         let gap_ms = if at % 40 == 0 { 400 } else { 40 };
         now += gap_ms;
-        speed.record_gaps(one(gap_ms as f64), now);
+        speed.record_gaps(single_gap(gap_ms as f64), now);
     }
     assert_eq!(speed.typical_gap_ms(now), Some(40.0));
 }
 
-/// What happened: a node stood still for 1.5 s, took the events that it then read at once for those of an engine
-/// without any gap, and moved all its items there.
+/// Guards against moving all items to one engine: a node that was paused for 1.5 s took the events that it then read at
+/// once for those of an engine without any gap.
 #[test]
-fn events_that_are_read_together_share_the_time_since_the_one_before() {
+fn events_that_are_read_together_share_the_time_since_the_previous_event() {
     let mut stream = StreamGaps::default();
     assert_eq!(stream.record_event(50.0), None);
-    assert_eq!(stream.record_event(1_500.0), Some(one(50.0)));
+    assert_eq!(stream.record_event(1_500.0), Some(single_gap(50.0)));
     for _ in 0..29 {
         assert_eq!(stream.record_event(0.0), None);
     }
-    let alike = EqualGaps {
+    let equal_gaps = EqualGaps {
         gap_ms: 50.0,
         count: 30,
     };
-    assert_eq!(stream.record_event(50.0), Some(alike));
+    assert_eq!(stream.record_event(50.0), Some(equal_gaps));
 }
 
-/// The same, on a machine so busy that what came meanwhile is read in some parts.
+/// The same on a machine so busy that the events that arrived meanwhile are read in several parts.
 #[test]
-fn what_is_read_late_in_parts_does_not_make_a_back_end_quick() {
+fn events_read_late_in_parts_do_not_make_a_back_end_look_fast() {
     let mut speed = BackEndSpeed::default();
     for at in 1..=100 {
-        speed.record_gaps(one(50.0), 50 * at);
+        speed.record_gaps(single_gap(50.0), 50 * at);
     }
     for at in 0..60 {
-        speed.record_gaps(one(4.0), 6_500 + 4 * at);
+        speed.record_gaps(single_gap(4.0), 6_500 + 4 * at);
     }
     for at in 1..=30 {
-        speed.record_gaps(one(50.0), 6_740 + 50 * at);
+        speed.record_gaps(single_gap(50.0), 6_740 + 50 * at);
         assert_eq!(speed.typical_gap_ms(6_740 + 50 * at), Some(50.0));
     }
 }
 
-/// A load of weights falls into the first windows.
+/// A load of weights falls into the first windows and must not determine the estimate.
 #[test]
-fn nothing_is_told_from_too_few_windows() {
+fn too_few_windows_give_no_estimate() {
     let mut speed = BackEndSpeed::default();
     for at in 0..11 {
-        speed.record_gaps(one(50.0), 1_000 + 50 * at);
+        speed.record_gaps(single_gap(50.0), 1_000 + 50 * at);
     }
     assert_eq!(speed.typical_gap_ms(1_500), None);
-    speed.record_gaps(one(1_200.0), 2_700);
+    speed.record_gaps(single_gap(1_200.0), 2_700);
     for at in 1..24 {
-        speed.record_gaps(one(50.0), 2_700 + 50 * at);
+        speed.record_gaps(single_gap(50.0), 2_700 + 50 * at);
     }
     assert_eq!(speed.typical_gap_ms(3_850), Some(50.0));
 }
 
 #[test]
-fn what_was_seen_long_ago_says_nothing() {
+fn an_estimate_expires() {
     let mut speed = BackEndSpeed::default();
     for at in 0..100 {
-        speed.record_gaps(one(120.0), 120 * at);
+        speed.record_gaps(single_gap(120.0), 120 * at);
     }
     assert_eq!(speed.typical_gap_ms(250_000), Some(120.0));
     assert_eq!(speed.typical_gap_ms(320_000), None);
 }
 
-/// A node that has not seen an engine lately goes by what others tell of it.
+/// A node without recent events of an engine uses the gap that other nodes report.
 #[test]
-fn what_others_tell_counts_where_this_node_has_seen_nothing_lately() {
+fn reported_gaps_apply_if_the_own_estimate_is_not_fresh() {
     let own = |age_ms| {
         Some(GapEstimate {
             gap_ms: 40.0,
--- a/crates/rollout/tests/occupancy.rs
+++ b/crates/rollout/tests/occupancy.rs
@@ -1,4 +1,4 @@
-//! Places taken on back ends, as the nodes tell each other.
+//! Tests how the occupied slots of back ends follow from the reports of the nodes.
 
 mod support;
 
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 use support::{backend, node};
 
-fn told(node: NodeId, running: &[(&str, u32)]) -> OccupancyRecord {
+fn record_of(node: NodeId, running: &[(&str, u32)]) -> OccupancyRecord {
     let running = running.iter().map(|(id, count)| (backend(id), *count));
     OccupancyRecord {
         node,
@@ -21,41 +21,41 @@
 }
 
 #[test]
-fn places_of_all_nodes_add_up() {
+fn running_items_of_all_nodes_add_up() {
     let mut occupancy = Occupancy::default();
-    occupancy.apply(told(node("a", 1), &[("x", 2), ("y", 1)]), 10);
-    occupancy.apply(told(node("b", 1), &[("x", 3)]), 20);
+    occupancy.apply(record_of(node("a", 1), &[("x", 2), ("y", 1)]), 10);
+    occupancy.apply(record_of(node("b", 1), &[("x", 3)]), 20);
     let all = BTreeMap::from([(backend("x"), 5), (backend("y"), 1)]);
     assert_eq!(occupancy.running(0, |_| true), all);
-    let of_others = occupancy.running(0, |teller| *teller != node("a", 1));
+    let of_others = occupancy.running(0, |reporter| *reporter != node("a", 1));
     assert_eq!(of_others, BTreeMap::from([(backend("x"), 3)]));
 }
 
 #[test]
-fn what_a_node_tells_replaces_what_it_told() {
+fn a_report_replaces_the_earlier_one_of_its_node() {
     let mut occupancy = Occupancy::default();
-    occupancy.apply(told(node("a", 1), &[("x", 2)]), 10);
-    occupancy.apply(told(node("a", 1), &[("y", 1)]), 20);
+    occupancy.apply(record_of(node("a", 1), &[("x", 2)]), 10);
+    occupancy.apply(record_of(node("a", 1), &[("y", 1)]), 20);
     let newest = BTreeMap::from([(backend("y"), 1)]);
     assert_eq!(occupancy.running(0, |_| true), newest);
 }
 
-/// A node that died takes no places.
+/// A node that died occupies no slots.
 #[test]
-fn places_of_a_silent_node_do_not_count() {
+fn items_of_a_silent_node_do_not_count() {
     let mut occupancy = Occupancy::default();
-    occupancy.apply(told(node("a", 1), &[("x", 2)]), 10);
+    occupancy.apply(record_of(node("a", 1), &[("x", 2)]), 10);
     assert!(occupancy.running(11, |_| true).is_empty());
 }
 
 #[test]
-fn a_record_is_read_as_it_was_written() {
-    let record = told(node("a", 1), &[("x", 2)]);
+fn a_record_round_trips() {
+    let record = record_of(node("a", 1), &[("x", 2)]);
     assert_eq!(OccupancyRecord::decode(&record.encode()), Ok(record));
     assert!(OccupancyRecord::decode(b"\xff").is_err());
 }
 
-/// The record as builds write and read it that know no details.
+/// The record as builds without `details` write and read it.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 struct PlainRecord {
     node: NodeId,
@@ -70,9 +70,9 @@
     };
     let bytes = postcard::to_stdvec(&plain).expect("plain data");
     let read = OccupancyRecord::decode(&bytes).expect("a record without details");
-    assert_eq!(read, told(node("a", 1), &[("x", 2)]));
+    assert_eq!(read, record_of(node("a", 1), &[("x", 2)]));
 
-    let mut detailed = told(node("a", 1), &[("x", 2)]);
+    let mut detailed = record_of(node("a", 1), &[("x", 2)]);
     let detail = BackendDetail {
         expected_tokens: 9_000,
         event_gap_us: Some(46_400),
@@ -84,10 +84,10 @@
 }
 
 #[test]
-fn details_are_those_of_nodes_that_told_of_them_lately() {
+fn details_come_only_from_nodes_that_reported_recently() {
     let mut occupancy = Occupancy::default();
     for (name, at, tokens) in [("old", 10, 1), ("new", 50, 2)] {
-        let mut record = told(node(name, 1), &[]);
+        let mut record = record_of(node(name, 1), &[]);
         let detail = BackendDetail {
             expected_tokens: tokens,
             event_gap_us: None,
--- a/crates/rollout/tests/order_plan.rs
+++ b/crates/rollout/tests/order_plan.rs
@@ -1,4 +1,4 @@
-//! Which back end is ordered to load which version.
+//! Tests which back end is ordered to load which version.
 
 mod support;
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// More items than all back ends of a test have places for.
+/// More items than all back ends of a test have slots for.
 const MANY_ITEMS: u32 = 1_000;
 
 fn plan(
@@ -41,13 +41,13 @@
 }
 
 fn plan_for(targets: &[OrderTarget], demand: VersionDemand, max_concurrent: usize) -> Vec<String> {
-    let homes: BTreeMap<BackendId, ModelName> = targets
+    let assigned_models: BTreeMap<BackendId, ModelName> = targets
         .iter()
         .map(|target| (target.backend.clone(), model("m")))
         .collect();
     let named = demand.named;
     let demand = BTreeMap::from([(model("m"), demand)]);
-    let orders = plan_orders(targets, &demand, &homes, max_concurrent);
+    let orders = plan_orders(targets, &demand, &assigned_models, max_concurrent);
     assert!(orders.iter().all(|order| order.version == named));
     orders
         .iter()
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn only_so_many_load_at_once() {
+fn concurrent_loads_are_limited() {
     let mut targets = vec![target("a", 1, 0), target("b", 1, 0), target("c", 1, 0)];
     assert_eq!(plan(&targets, 2, 0, 2), ["a", "b"]);
     targets[0].is_loading = true;
@@ -66,13 +66,13 @@
 }
 
 #[test]
-fn the_idle_load_before_the_busy() {
+fn idle_back_ends_load_before_busy_ones() {
     let targets = [target("a", 1, 5), target("b", 1, 0), target("c", 1, 3)];
     assert_eq!(plan(&targets, 2, 0, 3), ["b", "c", "a"]);
 }
 
 #[test]
-fn where_work_may_be_one_version_old_half_go_on_serving() {
+fn half_of_the_back_ends_keep_serving_if_work_may_be_one_version_behind() {
     let targets = [
         target("a", 4, 0),
         target("b", 4, 0),
@@ -82,12 +82,12 @@
     assert_eq!(
         plan(&targets, 5, 1, 4),
         ["c", "d"],
-        "those at 4 still serve step 5"
+        "back ends at version 4 still serve step 5"
     );
 }
 
 #[test]
-fn all_that_are_too_old_load_even_if_half_are_new() {
+fn all_back_ends_that_are_too_old_load_even_if_half_are_up_to_date() {
     let targets = [
         target("a", 5, 0),
         target("b", 5, 0),
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn enough_are_made_new_for_the_next_version() {
+fn enough_back_ends_load_for_the_next_version() {
     let targets = [
         target("a", 4, 2),
         target("b", 4, 0),
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn back_ends_are_shared_by_the_models_work() {
+fn back_ends_are_split_between_models_by_weight() {
     let models = |version| BTreeMap::from([(model("m"), version), (model("n"), 1)]);
     let targets: Vec<OrderTarget> = ["a", "b", "c", "d", "e", "f"]
         .into_iter()
@@ -127,13 +127,18 @@
         .collect();
     let weights = BTreeMap::from([(model("m"), 200.0), (model("n"), 100.0)]);
     let named = BTreeMap::from([(model("m"), 2), (model("n"), 2)]);
-    let homes = assign_models(&targets, &weights, &named);
-    let count = |name: &str| homes.values().filter(|home| **home == model(name)).count();
+    let assigned_models = assign_models(&targets, &weights, &named);
+    let count = |name: &str| {
+        assigned_models
+            .values()
+            .filter(|assigned| **assigned == model(name))
+            .count()
+    };
     assert_eq!((count("m"), count("n")), (4, 2));
 }
 
 #[test]
-fn a_back_end_stays_with_the_model_it_is_newest_for() {
+fn a_back_end_stays_with_the_model_whose_newest_version_it_has() {
     let with = |id: &str, m, n| OrderTarget {
         models: BTreeMap::from([(model("m"), m), (model("n"), n)]),
         ..target(id, 1, 0)
@@ -141,15 +146,15 @@
     let targets = [with("a", 1, 7), with("b", 7, 1)];
     let weights = BTreeMap::from([(model("m"), 1.0), (model("n"), 1.0)]);
     let named = BTreeMap::from([(model("m"), 8), (model("n"), 8)]);
-    let homes = assign_models(&targets, &weights, &named);
-    assert_eq!(homes[&backend("a")], model("n"));
-    assert_eq!(homes[&backend("b")], model("m"));
+    let assigned_models = assign_models(&targets, &weights, &named);
+    assert_eq!(assigned_models[&backend("a")], model("n"));
+    assert_eq!(assigned_models[&backend("b")], model("m"));
 }
 
-/// A batch that four places can hold keeps two back ends of two places up to date, whichever number there
-/// is; the same two with each version, as they hold the newest.
+/// A batch of four items keeps two back ends of two slots up to date, however many back ends there are. The same two
+/// are chosen for each version, as they have the newest one.
 #[test]
-fn no_more_back_ends_load_than_the_newest_batch_has_items_for() {
+fn no_more_back_ends_load_than_the_newest_batch_needs() {
     let of_four_items = |named, max_versions_behind| VersionDemand {
         named,
         max_versions_behind,
@@ -168,9 +173,9 @@
     assert_eq!(plan_for(&later, of_four_items(3, 1), 9), ["d"]);
 }
 
-/// A back end that cannot be ordered at this moment makes room for another.
+/// A back end that currently gets no orders is replaced by another.
 #[test]
-fn another_loads_for_one_that_is_avoided() {
+fn another_back_end_loads_instead_of_an_avoided_one() {
     let mut targets = ["a", "b", "c"].map(|id| target(id, 1, 0));
     targets[0].is_avoided = true;
     let demand = VersionDemand {
--- a/crates/rollout/tests/sizing.rs
+++ b/crates/rollout/tests/sizing.rs
@@ -1,4 +1,4 @@
-//! When a pool grows, and where.
+//! Tests when a pool grows, and in which zones.
 
 use havenstage_rollout::ids::ZoneName;
 use havenstage_rollout::sizing::{PoolLoad, PoolScaling, PoolSizer, ZoneSizes};
@@ -29,7 +29,7 @@
     }
 }
 
-/// What a pool is planned to have after each of these moments.
+/// The planned sizes after each of these loads, given with their times in milliseconds.
 fn plans(loads: &[(u64, PoolLoad)]) -> Vec<Option<ZoneSizes>> {
     let mut sizer = PoolSizer::default();
     sizer.observe_ready(&load(0, false).ready);
@@ -44,25 +44,25 @@
     let grown = sizes(&[("cheap", 14), ("dear", 12 + 4), ("usual", 14)]);
     let expected = sizes(&[("cheap", 14), ("dear", 14), ("usual", 14)]);
     assert_eq!(planned[..2], [None, None]);
-    assert_ne!(planned[2], Some(grown), "no zone grows beyond its bound");
+    assert_ne!(planned[2], Some(grown), "no zone grows beyond its maximum");
     assert_eq!(planned[2], Some(expected));
 }
 
-/// The burst with which each step begins takes all slots, and is over before new back ends serve.
+/// The burst with which each step begins occupies all slots, and is over before new back ends serve.
 #[test]
-fn a_full_pool_that_is_in_time_stays_as_it_is() {
+fn a_full_pool_whose_batches_are_on_time_does_not_grow() {
     let full = load(210, false);
     assert_eq!(plans(&[(1_000, full.clone()), (9_000, full)]), [None, None]);
 }
 
 #[test]
-fn a_pool_with_free_places_stays_as_it_is_however_late_its_work_is() {
+fn a_pool_with_free_slots_does_not_grow_however_late_its_batches_are() {
     let free = load(150, true);
     assert_eq!(plans(&[(1_000, free.clone()), (9_000, free)]), [None, None]);
 }
 
 #[test]
-fn it_grows_again_only_once_what_was_ordered_has_started() {
+fn a_pool_grows_again_only_after_the_boot_time() {
     let full = load(210, true);
     let at = |now| (now, full.clone());
     let planned = plans(&[at(0), at(700), at(800), at(4_600), at(4_800), at(5_500)]);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_pool_of_which_nothing_is_listed_is_left_alone() {
+fn a_pool_without_listed_back_ends_does_not_grow() {
     let unknown = PoolLoad {
         ready: sizes(&[]),
         slots: 0,
@@ -84,9 +84,10 @@
     );
 }
 
-/// Half of a zone has crashed when the pool grows: what is ordered must not take the others away.
+/// Guards against removing back ends when a pool grows while many back ends of a zone are down: the order must not be
+/// based on those that are left.
 #[test]
-fn back_ends_that_are_missing_for_a_moment_are_not_ordered_away() {
+fn back_ends_that_are_temporarily_missing_are_not_removed() {
     let mut sizer = PoolSizer::default();
     sizer.observe_ready(&load(0, false).ready);
     let few = PoolLoad {
--- a/crates/rollout/tests/usage.rs
+++ b/crates/rollout/tests/usage.rs
@@ -1,4 +1,4 @@
-//! Counting usage, adding it up, and deciding what is reported.
+//! Tests how usage is counted, added up, and decided before it is reported.
 
 mod support;
 
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_meter_tells_what_is_not_written() {
+fn a_meter_returns_the_records_that_are_not_written() {
     let (mut meter, own) = (UsageMeter::default(), node("a", 1));
     let water = TenantName::from("water");
     meter.count_request(&water, 7);
@@ -41,28 +41,28 @@
     assert_eq!(
         second,
         [record("a", 7, &[("water", 2)])],
-        "one came meanwhile"
+        "one request was counted meanwhile"
     );
     meter.forget_before(8);
     assert_eq!(
         meter.unwritten_records(&own).len(),
         1,
-        "it is not written yet"
+        "the second request is not written yet"
     );
     meter.mark_written(&second);
     assert!(meter.unwritten_records(&own).is_empty());
 }
 
 #[test]
-fn records_that_come_twice_or_late_change_nothing() {
+fn duplicate_and_late_records_change_nothing() {
     let mut totals = UsageTotals::default();
     let (early, newest) = (
         record("a", 7, &[("water", 1)]),
         record("a", 7, &[("water", 3), ("power", 1)]),
     );
     let other = record("b", 7, &[("water", 2)]);
-    let elsewhere = record("b", 8, &[("water", 9)]);
-    for record in [&early, &newest, &other, &early, &newest, &elsewhere] {
+    let other_window = record("b", 8, &[("water", 9)]);
+    for record in [&early, &newest, &other, &early, &newest, &other_window] {
         totals.apply(record.clone());
     }
     let mut sum = RequestCounts::new();
@@ -74,7 +74,7 @@
     assert!(sum.is_empty());
 }
 
-/// Two holders decide the same window, the second with one count more; the platform must hear one sum only.
+/// Two lease holders decide the same window, the second with one more request; the platform must receive one sum only.
 #[test]
 fn the_first_decision_of_a_window_counts() {
     let mut ledger = UsageLedger::default();
@@ -89,7 +89,11 @@
     assert_eq!(ledger.oldest_unsettled(), None);
     ledger.decide(8, counts(&[]));
     ledger.decide(7, counts(&[("water", 2)]));
-    assert_eq!(ledger.oldest_unsettled().unwrap().window, 8, "a late copy");
+    assert_eq!(
+        ledger.oldest_unsettled().unwrap().window,
+        8,
+        "a delayed duplicate is ignored"
+    );
 }
 
 #[test]
