--- a/crates/gateway/src/claim_timing.rs
+++ b/crates/gateway/src/claim_timing.rs
@@ -12,7 +12,7 @@
 pub fn claim_timing(context: &Context, claim: &str) -> ClaimTiming {
     let silence_ms = context.settings.tuning.silence_ms;
     ClaimTiming {
-        silence_ms: silence_ms + context.pace().gap_ms,
+        silence_ms: silence_ms + context.pace().read_interval_ms,
         spread_ms: claim_spread(context).delay_ms(xxh3_64(claim.as_bytes())),
     }
 }
@@ -28,6 +28,6 @@
     ClaimSpread {
         machines: context.fleet_size(),
         spread_ms: context.settings.tuning.spread_ms,
-        claim_visible_after_ms: context.pace().gap_ms,
+        claim_visible_after_ms: context.pace().read_interval_ms,
     }
 }
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -358,14 +358,14 @@
         let machines = self.fleet_size();
         let mut pace = pacing::pace(machines, ALWAYS_FOLLOWED, self.settings.log.reads_per_s);
         if self.control_read_for() < FLEET_UNKNOWN_FOR {
-            pace.gap_ms = pace.gap_ms.min(LONGEST_GAP_AT_FIRST_MS);
+            pace.read_interval_ms = pace.read_interval_ms.min(LONGEST_GAP_AT_FIRST_MS);
         }
         pace
     }
 
     /// Usual time between two reads of a stream; none in a small fleet.
     pub fn read_gap(&self) -> Duration {
-        Duration::from_millis(self.pace().gap_ms)
+        Duration::from_millis(self.pace().read_interval_ms)
     }
 
     /// Has reads of the log wait for their answers as long as those of the whole fleet may take together.
@@ -586,7 +586,7 @@
 
     /// The same while nothing is wrong, at most: each read waits for a change, and the next one follows after a gap.
     pub fn longest_operators_age_ms(&self) -> Millis {
-        let gap_ms = self.pace().gap_ms;
+        let gap_ms = self.pace().read_interval_ms;
         self.settings.tuning.read_wait_ms + 2 * gap_ms + READ_SLACK_MS
     }
 
--- a/crates/gateway/src/digest_reader.rs
+++ b/crates/gateway/src/digest_reader.rs
@@ -90,7 +90,7 @@
     let asking = context.clone();
     let asker = tokio::spawn(async move { ask_for_more(&asking).await });
     loop {
-        let gap_ms = context.pace().gap_ms;
+        let gap_ms = context.pace().read_interval_ms;
         match read_once(context, &context.digest, &mut dependency, gap_ms).await {
             ReadOutcome::Dropped => {
                 take_up(context).await;
--- a/crates/gateway/src/directories.rs
+++ b/crates/gateway/src/directories.rs
@@ -206,7 +206,7 @@
 /// Wait between two reads of a directory: none among few machines, and never so long that a change
 /// comes late.
 fn directory_gap(context: &Context) -> Duration {
-    Duration::from_millis(context.pace().gap_ms).min(LONGEST_DIRECTORY_GAP)
+    Duration::from_millis(context.pace().read_interval_ms).min(LONGEST_DIRECTORY_GAP)
 }
 
 /// What a listing has brought so far that replaces what was known, once it is whole.
@@ -317,7 +317,7 @@
 /// give orders, and by all where they are few. Others count it, so that the fleet's lines don't grow
 /// with nodes times changes.
 fn tells_all(context: &Context, change: &'static str) -> bool {
-    let tells = context.takes_part() || context.pace().gap_ms == 0;
+    let tells = context.takes_part() || context.pace().read_interval_ms == 0;
     if !tells {
         metrics::directory_changed(change);
     }
--- a/crates/gateway/src/followers.rs
+++ b/crates/gateway/src/followers.rs
@@ -188,7 +188,7 @@
         let gap_ms = if context.is_busy() {
             0
         } else {
-            context.pace().gap_ms
+            context.pace().read_interval_ms
         };
         if read_once(&context, &context.control, &mut dependency, gap_ms).await
             == ReadOutcome::Dropped
--- a/crates/gateway/src/peers/questions.rs
+++ b/crates/gateway/src/peers/questions.rs
@@ -123,7 +123,7 @@
             is_paused: is_paused(context, &owner),
         }),
         is_control_stream_current: context.control.is_current(now),
-        read_interval_ms: context.pace().gap_ms,
+        read_interval_ms: context.pace().read_interval_ms,
     };
     let is_asked = peer_question::choose_route(&facts) == QuestionRoute::Owner;
     is_asked.then_some(owner)
--- a/crates/rollout/src/pacing.rs
+++ b/crates/rollout/src/pacing.rs
@@ -15,18 +15,20 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Pace {
     /// Wait between two reads of a stream, in milliseconds; 0 means no wait.
-    pub gap_ms: Millis,
+    pub read_interval_ms: Millis,
 }
 
 /// The pace at which `machines` machines that each read `streams` streams stay within the share of `reads_per_s`, the
 /// log's limit on read calls per second, that is left to paced reads.
 pub fn pace(machines: usize, streams: usize, reads_per_s: u32) -> Pace {
     if machines <= MAX_UNPACED_MACHINES {
-        return Pace { gap_ms: 0 };
+        return Pace {
+            read_interval_ms: 0,
+        };
     }
     let per_second = f64::from(reads_per_s.max(1)) * PACED_SHARE;
-    let gap_ms = (machines * streams) as f64 * 1_000.0 / per_second;
+    let interval_ms = (machines * streams) as f64 * 1_000.0 / per_second;
     Pace {
-        gap_ms: gap_ms as Millis,
+        read_interval_ms: interval_ms as Millis,
     }
 }
