--- a/crates/rollout/src/circuit_breaker.rs
+++ b/crates/rollout/src/circuit_breaker.rs
@@ -2,10 +2,10 @@
 //!
 //! A back end that breaks every connection at once looks empty, so that without a breaker all waiting items would be
 //! sent to it again and again. The breaker opens on the first run that fails without progress, or on several runs that
-//! are cut short within a short time. Failures while it is open are ignored. When the open time is over, the breaker is
-//! half-open: one item is sent as a probe, and the first event of the probe closes the breaker. Events of runs that
-//! started before the breaker opened do not close it, because a back end may fail new connections while it serves
-//! existing ones.
+//! are cut short within a short time. Failures while it is open, and of runs that started before it opened, are ignored.
+//! When the open time is over, the breaker is half-open: one item is sent as a probe, and the first event of the probe
+//! closes the breaker. Events of runs that started before the breaker opened do not close it, because a back end may
+//! fail new connections while it serves existing ones.
 
 use crate::Millis;
 
