--- a/crates/rollout/src/access.rs
+++ b/crates/rollout/src/access.rs
@@ -9,7 +9,7 @@
 use crate::residency::Residency;
 
 /// Maximum number of keys whose former holders are remembered. It bounds memory, and is far more than the keys that
-/// are reassigned while a request is in flight.
+/// are reassigned while a request is in flight. If there are more, all former holders are forgotten.
 const MAX_FORMER_KEYS: usize = 10_000;
 
 /// A tenant as operators configure it.
--- a/crates/rollout/src/backend.rs
+++ b/crates/rollout/src/backend.rs
@@ -155,8 +155,8 @@
             .filter(move |(_, record)| record.pool == *pool && !record.draining)
     }
 
-    /// Whether a request that was just assigned to a back end may still be sent to it: the back end is listed, and its
-    /// zone is not evacuated.
+    /// Whether a request that was just assigned to a back end may still be sent to it: the back end is listed,
+    /// and its zone is not evacuated. A draining back end still accepts such a request.
     pub fn can_accept_requests(&self, id: &BackendId) -> bool {
         self.get(id)
             .is_some_and(|record| !self.is_evacuated(&record.zone))
--- a/crates/rollout/src/peer_message.rs
+++ b/crates/rollout/src/peer_message.rs
@@ -32,7 +32,7 @@
         /// Milliseconds to wait for a result if there is none yet.
         wait_ms: u64,
     },
-    /// Read the body of an item as it was submitted.
+    /// Read the submitted body of an item whose result is not listed yet.
     ItemBody {
         /// Id of the item.
         item: ItemId,
