--- a/crates/rollout/src/checkpoint.rs
+++ b/crates/rollout/src/checkpoint.rs
@@ -153,8 +153,8 @@
     const DESCRIPTION: &'static str = "a checkpoint of the control stream";
 
     fn decode(bytes: &[u8]) -> Result<Self, UnreadableValue> {
-        let whole = postcard::from_bytes(bytes);
-        whole.or_else(|source| {
+        let current = postcard::from_bytes(bytes);
+        current.or_else(|source| {
             let unversioned = || UnversionedCheckpoint::decode_exact(bytes).map(Self::from);
             let unreadable = || UnreadableValue::new(Self::DESCRIPTION, source);
             decode_older_version(bytes)
--- a/crates/rollout/src/stored.rs
+++ b/crates/rollout/src/stored.rs
@@ -6,7 +6,7 @@
 
 /// The error of decoding bytes that are not a value of the expected type.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-#[error("not {what}: {source}")]
+#[error("cannot decode {what}: {source}")]
 pub struct UnreadableValue {
     /// [`Stored::DESCRIPTION`] of the expected type.
     what: &'static str,
--- a/crates/rollout/tests/batch_index.rs
+++ b/crates/rollout/tests/batch_index.rs
@@ -14,7 +14,7 @@
     BatchNotice::of(&submission, owner)
 }
 
-fn open_ids(index: &BatchIndex) -> Vec<&str> {
+fn open_batch_ids(index: &BatchIndex) -> Vec<&str> {
     index
         .open()
         .map(|batch| batch.notice.batch.as_str())
@@ -44,9 +44,9 @@
     let mut index = BatchIndex::default();
     index.add(notice("batch", 1, None), 10);
     index.close(&BatchId::from("batch"), 20);
-    assert!(open_ids(&index).is_empty());
+    assert!(open_batch_ids(&index).is_empty());
     index.add(notice("batch", 1, None), 30);
-    assert_eq!(open_ids(&index), ["batch"]);
+    assert_eq!(open_batch_ids(&index), ["batch"]);
 }
 
 /// Guards against closing a reopened batch too early. A batch whose items had been missing was submitted again and
--- a/crates/rollout/tests/claims.rs
+++ b/crates/rollout/tests/claims.rs
@@ -99,17 +99,17 @@
 }
 
 fn longest_wait(waits: &[Wait], claimant: &str) -> u64 {
-    let of = waits.iter().filter(|wait| wait.claimant == claimant);
-    of.map(|wait| wait.ms).max().expect("some ran")
+    let of_claimant = waits.iter().filter(|wait| wait.claimant == claimant);
+    of_claimant.map(|wait| wait.ms).max().expect("some ran")
 }
 
 fn mean_wait(waits: &[Wait], claimant: &str) -> u64 {
-    let of: Vec<u64> = waits
+    let waits_ms: Vec<u64> = waits
         .iter()
         .filter(|wait| wait.claimant == claimant)
         .map(|wait| wait.ms)
         .collect();
-    of.iter().sum::<u64>() / of.len() as u64
+    waits_ms.iter().sum::<u64>() / waits_ms.len() as u64
 }
 
 /// A burst of `count` items in each of so many seconds.
--- a/crates/rollout/tests/control.rs
+++ b/crates/rollout/tests/control.rs
@@ -164,15 +164,15 @@
     assert_eq!(state.machine_count(), 3);
 }
 
-fn listens(machine: &str, life: u32) -> ControlRecord {
+fn listens(machine: &str, incarnation: u32) -> ControlRecord {
     ControlRecord::PeerListens {
-        node: node(machine, life),
-        address: address_of(life),
+        node: node(machine, incarnation),
+        address: address_of(incarnation),
     }
 }
 
-fn address_of(life: u32) -> SocketAddr {
-    SocketAddr::from(([10, 0, 0, 1], life as u16))
+fn address_of(incarnation: u32) -> SocketAddr {
+    SocketAddr::from(([10, 0, 0, 1], incarnation as u16))
 }
 
 /// Records of a period in which a node and its successor gave orders and ran batches.
@@ -339,8 +339,8 @@
 #[test]
 fn the_address_of_a_nodes_newest_incarnation_counts_until_its_heartbeats_are_too_old() {
     let mut state = ControlState::new(MachineName::from("a"));
-    let heartbeat = |life| ControlRecord::Heartbeat {
-        node: node("b", life),
+    let heartbeat = |incarnation| ControlRecord::Heartbeat {
+        node: node("b", incarnation),
         routes: Vec::new(),
         batches: Vec::new(),
     };
@@ -348,13 +348,13 @@
     assert_eq!(state.peers().of(&node("b", 1)), None);
     state.apply(listens("b", 1), 1_000);
     state.apply(heartbeat(1), 2_000);
-    let told = state.peers().of(&node("b", 1));
-    assert_eq!(told, Some((address_of(1), 2_000)));
+    let address = state.peers().of(&node("b", 1));
+    assert_eq!(address, Some((address_of(1), 2_000)));
     state.apply(listens("b", 2), 3_000);
     state.apply(heartbeat(1), 4_000);
     assert_eq!(state.peers().of(&node("b", 1)), None);
-    let told = state.peers().of(&node("b", 2));
-    assert_eq!(told, Some((address_of(2), 3_000)));
+    let address = state.peers().of(&node("b", 2));
+    assert_eq!(address, Some((address_of(2), 3_000)));
     state.forget_batches_before(3_001);
     assert_eq!(state.peers().of(&node("b", 2)), None);
 }
