--- a/crates/rollout/src/crash_ledger/bar_rules.rs
+++ b/crates/rollout/src/crash_ledger/bar_rules.rs
@@ -133,8 +133,7 @@
     }
 }
 
-/// Whether the time for callers to retry, counted from the end that makes a request eligible to be barred, is still
-/// running.
+/// Whether callers may not have retried yet since a request reached [`BAR_AFTER_ENDS`] ends.
 pub(super) fn is_in_ambiguity_grace(suspect: &Suspect, now: Millis) -> bool {
     now.saturating_sub(suspect.barring_end_at) < AMBIGUITY_GRACE_MS
 }
--- a/crates/rollout/src/crash_ledger/mod.rs
+++ b/crates/rollout/src/crash_ledger/mod.rs
@@ -24,12 +24,12 @@
 /// items of one batch were barred in 10 seeds of the soak test, as they had run beside three different harmful
 /// requests.
 pub const BAR_AFTER_SHARED_ENDS: usize = 5;
-/// Time for which a request is not barred if another request has exactly the same ends, counted from the end that
-/// makes it eligible. Callers retry within this time, and a retry tells the two requests apart. It is shorter than the
-/// time within which all nodes must stop sending a harmful request.
+/// Time for which a request is not barred if another request has exactly the same ends, counted from the end with
+/// which it reaches [`BAR_AFTER_ENDS`]. Callers retry within this time, and a retry tells the two requests apart. It is
+/// shorter than the time within which all nodes must stop sending a harmful request.
 pub const AMBIGUITY_GRACE_MS: Millis = 2_000;
-/// Time after each end of an eligible request during which it is neither run nor barred if other requests were at all
-/// its earlier ends. Other nodes report what they saw of the same end within this time.
+/// Time after each end of a request with at least [`BAR_AFTER_ENDS`] ends during which it is neither run nor barred if
+/// other requests were at all its earlier ends. Other nodes report what they saw of the same end within this time.
 pub const REPORT_WAIT_MS: Millis = 300;
 /// Maximum number of tracked requests; 256 take some 30 KB in memory and 20 KB in a checkpoint.
 pub const MAX_REQUESTS: usize = 256;
@@ -150,7 +150,7 @@
     last_end: Millis,
     /// When this node learnt of the latest of the first [`BAR_AFTER_ENDS`] ends.
     barring_end_at: Millis,
-    /// Sequence number of that moment, which orders requests. A checkpoint preserves the order, but not the times.
+    /// Sequence number of that moment, which orders requests. A checkpoint preserves this order, but not the times.
     barring_end_order: u64,
     last_seen: Millis,
 }
@@ -332,7 +332,7 @@
     pub fn others_at_ends(&self, request: &Fingerprint) -> Vec<OtherRequestsAtEnd> {
         let suspect = self.suspects.get(request);
         let ended = suspect.into_iter().flat_map(|suspect| &suspect.ended);
-        let company = ended.map(|ended| {
+        let others_at_ends = ended.map(|ended| {
             let others = self.others_at(&ended.backend, request);
             let ends: Vec<usize> = others.map(|other| other.ended.len()).collect();
             OtherRequestsAtEnd {
@@ -341,7 +341,7 @@
                 max_ends: ends.into_iter().max().unwrap_or(0),
             }
         });
-        company.collect()
+        others_at_ends.collect()
     }
 
     /// Records a retry of a request, which prolongs its retention if it is suspected or barred.
--- a/crates/rollout/src/order_plan.rs
+++ b/crates/rollout/src/order_plan.rs
@@ -87,12 +87,12 @@
         let behind = demand.named.saturating_sub(version);
         (cannot_load, behind, target.backend.clone())
     });
-    let mut slots: u32 = 0;
+    let mut total_slots: u32 = 0;
     assigned_targets
         .into_iter()
         .take_while(|target| {
-            let is_needed = slots < demand.items;
-            slots = slots.saturating_add(target.slots);
+            let is_needed = total_slots < demand.items;
+            total_slots = total_slots.saturating_add(target.slots);
             is_needed
         })
         .collect()
--- a/crates/rollout/src/usage.rs
+++ b/crates/rollout/src/usage.rs
@@ -12,7 +12,7 @@
 use crate::ids::{NodeId, TenantName};
 use crate::stored::Stored;
 
-/// Number of a window, counted from the Unix epoch.
+/// Number of a window, counted from the Unix epoch (the beginning of 1970).
 pub type UsageWindow = u64;
 
 /// Number of requests of each tenant.
