--- a/crates/rollout/tests/usage.rs
+++ b/crates/rollout/tests/usage.rs
@@ -1,4 +1,4 @@
-//! Counting usage, adding it up, and deciding what is reported.
+//! Tests how usage is counted, added up, and decided before it is reported.
 
 mod support;
 
@@ -29,36 +29,40 @@
 }
 
 #[test]
-fn a_meter_tells_what_is_not_written() {
+fn a_meter_returns_the_records_that_are_not_written() {
     let (mut meter, own) = (UsageMeter::default(), node("a", 1));
     let water = TenantName::from("water");
-    meter.began(&water, 7);
-    let first = meter.unwritten(&own);
+    meter.count_request(&water, 7);
+    let first = meter.unwritten_records(&own);
     assert_eq!(first, [record("a", 7, &[("water", 1)])]);
-    meter.began(&water, 7);
-    meter.written(&first);
-    let second = meter.unwritten(&own);
+    meter.count_request(&water, 7);
+    meter.mark_written(&first);
+    let second = meter.unwritten_records(&own);
     assert_eq!(
         second,
         [record("a", 7, &[("water", 2)])],
-        "one came meanwhile"
+        "one request was counted meanwhile"
     );
     meter.forget_before(8);
-    assert_eq!(meter.unwritten(&own).len(), 1, "it is not written yet");
-    meter.written(&second);
-    assert!(meter.unwritten(&own).is_empty());
+    assert_eq!(
+        meter.unwritten_records(&own).len(),
+        1,
+        "the second request is not written yet"
+    );
+    meter.mark_written(&second);
+    assert!(meter.unwritten_records(&own).is_empty());
 }
 
 #[test]
-fn records_that_come_twice_or_late_change_nothing() {
+fn duplicate_and_late_records_change_nothing() {
     let mut totals = UsageTotals::default();
     let (early, newest) = (
         record("a", 7, &[("water", 1)]),
         record("a", 7, &[("water", 3), ("power", 1)]),
     );
     let other = record("b", 7, &[("water", 2)]);
-    let elsewhere = record("b", 8, &[("water", 9)]);
-    for record in [&early, &newest, &other, &early, &newest, &elsewhere] {
+    let other_window = record("b", 8, &[("water", 9)]);
+    for record in [&early, &newest, &other, &early, &newest, &other_window] {
         totals.apply(record.clone());
     }
     let mut sum = RequestCounts::new();
@@ -70,19 +74,26 @@
     assert!(sum.is_empty());
 }
 
-/// Two holders decide the same window, the second with one count more; the platform must hear one sum only.
+/// Two lease holders decide the same window, the second with one more request; the platform must receive one sum only.
 #[test]
 fn the_first_decision_of_a_window_counts() {
     let mut ledger = UsageLedger::default();
     ledger.decide(7, counts(&[("water", 1)]));
     ledger.decide(7, counts(&[("water", 2)]));
     assert_eq!(ledger.newest(), Some(7));
-    assert_eq!(ledger.to_report().unwrap().counts, counts(&[("water", 1)]));
+    assert_eq!(
+        ledger.oldest_unsettled().unwrap().counts,
+        counts(&[("water", 1)])
+    );
     ledger.settle(7);
-    assert_eq!(ledger.to_report(), None);
+    assert_eq!(ledger.oldest_unsettled(), None);
     ledger.decide(8, counts(&[]));
     ledger.decide(7, counts(&[("water", 2)]));
-    assert_eq!(ledger.to_report().unwrap().window, 8, "a late copy");
+    assert_eq!(
+        ledger.oldest_unsettled().unwrap().window,
+        8,
+        "a delayed duplicate is ignored"
+    );
 }
 
 #[test]
