--- a/crates/gateway/src/engine/live.rs
+++ b/crates/gateway/src/engine/active_item.rs
@@ -14,9 +14,9 @@
 
 /// A task that ends when it is dropped.
 #[derive(Debug)]
-pub struct OwnedTask(pub AbortHandle);
+pub struct AbortOnDrop(pub AbortHandle);
 
-impl Drop for OwnedTask {
+impl Drop for AbortOnDrop {
     fn drop(&mut self) {
         self.0.abort();
     }
@@ -36,14 +36,14 @@
         /// When its last event came, or the head of its answer, if one has.
         last_event: Option<Millis>,
         /// Has the run end as one that is stalled, unless it was told to already.
-        stalled: Option<Arc<Notify>>,
+        stall_signal: Option<Arc<Notify>>,
         /// The run.
-        _task: OwnedTask,
+        _task: AbortOnDrop,
     },
     /// Its output is whole and its reward call is under way.
     Scoring {
         /// The call.
-        _task: OwnedTask,
+        _task: AbortOnDrop,
     },
     /// Its end waits to be written down.
     Finishing {
@@ -54,7 +54,7 @@
 
 /// An item that this node works on.
 #[derive(Debug)]
-pub struct LiveItem {
+pub struct ActiveItem {
     /// What it asks for.
     pub spec: Arc<Item>,
     /// Index of its batch's partition.
@@ -68,19 +68,19 @@
     /// Events there, written down or not.
     pub events: u32,
     /// Version that made the first event.
-    pub made_by: Option<Version>,
+    pub first_version: Option<Version>,
     /// How often it was moved to another back end.
     pub moves: u32,
     /// Answers of back ends that they failed at it.
     pub failures: u32,
     /// Since when this node works on it.
     pub since: Millis,
-    base: u32,
-    chain: Vec<RunId>,
-    unsent: Vec<OutputEvent>,
+    logged_events: u32,
+    own_runs: Vec<RunId>,
+    unrecorded: Vec<OutputEvent>,
 }
 
-impl LiveItem {
+impl ActiveItem {
     /// An item as the log tells of it; nothing is done yet.
     pub fn new(state: &ItemState, spec: Arc<Item>, partition: usize, now: Millis) -> Self {
         let events = state.events.len() as u32;
@@ -92,13 +92,13 @@
             run,
             resumed_from: events,
             events,
-            made_by: state.events.first().map(|event| event.version),
+            first_version: state.events.first().map(|event| event.version),
             moves: 0,
             failures: 0,
             since: now,
-            base: events,
-            chain: Vec::new(),
-            unsent: Vec::new(),
+            logged_events: events,
+            own_runs: Vec::new(),
+            unrecorded: Vec::new(),
         }
     }
 
@@ -106,7 +106,7 @@
     pub fn begin_run(&mut self) -> RunId {
         let run = RunId(rand::random());
         self.run = run;
-        self.chain.push(run);
+        self.own_runs.push(run);
         self.resumed_from = self.events;
         run
     }
@@ -114,16 +114,16 @@
     /// Adds an event of the current run.
     pub fn add_event(&mut self, event: OutputEvent) {
         self.events += 1;
-        self.made_by.get_or_insert(event.version);
-        self.unsent.push(event);
+        self.first_version.get_or_insert(event.version);
+        self.unrecorded.push(event);
     }
 
     /// The record of the events that are not written down yet, if there are any.
     pub fn take_progress(&mut self, key: &ItemKey) -> Option<BatchRecord> {
-        if self.unsent.is_empty() {
+        if self.unrecorded.is_empty() {
             return None;
         }
-        let events = std::mem::take(&mut self.unsent);
+        let events = std::mem::take(&mut self.unrecorded);
         Some(BatchRecord::Progress {
             batch: key.batch.clone(),
             item: key.item.clone(),
@@ -143,14 +143,14 @@
             events: self.events,
         };
         self.events = 0;
-        self.made_by = None;
+        self.first_version = None;
         record
     }
 
     /// Whether the log holds output of somebody else that this node's work does not continue.
     pub fn is_overtaken(&self, state: &ItemState) -> bool {
-        let is_ours = state.run.is_some_and(|run| self.chain.contains(&run));
-        !is_ours && state.events.len() as u32 != self.base
+        let is_ours = state.run.is_some_and(|run| self.own_runs.contains(&run));
+        !is_ours && state.events.len() as u32 != self.logged_events
     }
 
     /// Where it runs, if it runs.
--- a/crates/gateway/src/engine/barred.rs
+++ b/crates/gateway/src/engine/barred.rs
@@ -13,7 +13,7 @@
 use crate::fingerprint;
 
 /// Barred items that are remembered as told; behind these each is told once more.
-const MOST_TOLD: usize = 1_024;
+const MAX_LOGGED_BARRED: usize = 1_024;
 
 impl Engine {
     /// Those of the waiting items that must not be run, or not yet.
@@ -40,7 +40,7 @@
             }
             match crash_guard::suspicion(&self.context, &request) {
                 Suspicion::Barred { .. } => {
-                    self.tell_barred(&key, &request);
+                    self.log_barred(&key, &request);
                     barred.insert(key);
                 }
                 Suspicion::Suspected { runs_left: 0, .. } => {
@@ -60,11 +60,11 @@
         Some(fingerprint::of_item(&batch.host, spec))
     }
 
-    fn tell_barred(&mut self, key: &ItemKey, request: &Fingerprint) {
-        if self.told_barred.len() >= MOST_TOLD {
-            self.told_barred.clear();
+    fn log_barred(&mut self, key: &ItemKey, request: &Fingerprint) {
+        if self.logged_barred.len() >= MAX_LOGGED_BARRED {
+            self.logged_barred.clear();
         }
-        if self.told_barred.insert(key.clone()) {
+        if self.logged_barred.insert(key.clone()) {
             crash_guard::tell_barred(&self.context, request, key.item.as_str());
         }
     }
--- a/crates/gateway/src/engine/candidates.rs
+++ b/crates/gateway/src/engine/candidates.rs
@@ -14,19 +14,19 @@
 use super::plan::PoolWork;
 
 /// Time after which an order of which nothing was heard no longer keeps items away.
-pub(super) const ORDER_KEEPS_AWAY_MS: Millis = 4_000;
+pub(super) const LOAD_ORDER_TIMEOUT_MS: Millis = 4_000;
 /// Gap between events of a back end whose speed is not known yet.
-const USUAL_GAP_MS: f64 = 30.0;
+const DEFAULT_EVENT_GAP_MS: f64 = 30.0;
 /// Shortest gap that is told apart from none.
-const SHORTEST_GAP_MS: f64 = 1.0;
+const MIN_EVENT_GAP_MS: f64 = 1.0;
 
 impl Engine {
     /// Gap between events that is usual among a pool's back ends.
-    pub(super) fn usual_gap_ms(&self, pool: &PoolName, now: Millis) -> f64 {
+    pub(super) fn median_gap_ms(&self, pool: &PoolName, now: Millis) -> f64 {
         let backends = self.context.backends.lock();
         let ready = backends.list.ready_in(pool);
         let gaps_ms = ready.filter_map(|(id, _)| Some(backends.event_gap(id, now)?.gap_ms));
-        median(gaps_ms.collect()).unwrap_or(USUAL_GAP_MS)
+        median(gaps_ms.collect()).unwrap_or(DEFAULT_EVENT_GAP_MS)
     }
 
     /// Back ends that may be given items now, and whose weights serve any of them.
@@ -35,16 +35,16 @@
         pool: Option<&Pool>,
         name: &PoolName,
         oldest: &BTreeMap<ModelName, Version>,
-        usual_gap_ms: f64,
+        median_gap_ms: f64,
         now: Millis,
     ) -> Vec<Candidate> {
         let own_node = &self.context.node;
-        let elsewhere = self.context.occupied(|node| node != own_node);
-        let told_gaps_ms = self.context.told_gaps_ms(|node| node != own_node);
-        let tokens_elsewhere = self.tokens_elsewhere();
+        let other_nodes_running = self.context.occupied(|node| node != own_node);
+        let reported_gaps_ms = self.context.told_gaps_ms(|node| node != own_node);
+        let other_nodes_tokens = self.other_nodes_tokens();
         let capacity = pool.and_then(|pool| pool.memory_tokens);
         let groups = self.groups_by_backend();
-        let own = self.running_here();
+        let own = self.own_running_by_backend();
         let owners = self.context.batch_owners();
         let sender = Sender::Item {
             node: own_node,
@@ -66,7 +66,7 @@
             let is_loading = control
                 .state
                 .pending(id)
-                .is_some_and(|order| now.saturating_sub(order.since) < ORDER_KEEPS_AWAY_MS);
+                .is_some_and(|order| now.saturating_sub(order.since) < LOAD_ORDER_TIMEOUT_MS);
             let serves_none = !oldest.is_empty()
                 && oldest
                     .iter()
@@ -76,9 +76,9 @@
             }
             let versions = |model: &ModelName| (model.clone(), backends.version(id, model));
             let own_gap = backends.event_gap(id, now);
-            let gap_ms = expected_gap_ms(own_gap, told_gaps_ms.get(id).copied(), usual_gap_ms);
-            let running =
-                own.get(id).copied().unwrap_or(0) + elsewhere.get(id).copied().unwrap_or(0);
+            let gap_ms = expected_gap_ms(own_gap, reported_gaps_ms.get(id).copied(), median_gap_ms);
+            let running = own.get(id).copied().unwrap_or(0)
+                + other_nodes_running.get(id).copied().unwrap_or(0);
             let allowance = match admission {
                 Admission::Probe => Some(1),
                 Admission::All | Admission::None => None,
@@ -92,10 +92,10 @@
                 slots: allowance.map_or(record.slots, |more| record.slots.min(running + more)),
                 memory: TokenMemory {
                     capacity,
-                    other_nodes_tokens: tokens_elsewhere.get(id).copied().unwrap_or(0),
-                    items: self.lengths.on(id),
+                    other_nodes_tokens: other_nodes_tokens.get(id).copied().unwrap_or(0),
+                    items: self.item_lengths.items_on(id),
                 },
-                event_gap_ms: gap_ms.max(SHORTEST_GAP_MS),
+                event_gap_ms: gap_ms.max(MIN_EVENT_GAP_MS),
                 is_half_open: admission == Admission::Probe,
                 models: models
                     .iter()
@@ -108,7 +108,7 @@
     }
 
     /// How many items of this node run on each back end.
-    pub(super) fn running_here(&self) -> BTreeMap<BackendId, u32> {
+    pub(super) fn own_running_by_backend(&self) -> BTreeMap<BackendId, u32> {
         let mut running = BTreeMap::new();
         for backend in self.items.values().filter_map(|item| item.running_on()) {
             *running.entry(backend.clone()).or_default() += 1;
@@ -117,7 +117,7 @@
     }
 
     /// Tokens that other nodes' items are expected to hold on each back end, as they tell.
-    fn tokens_elsewhere(&self) -> BTreeMap<BackendId, u32> {
+    fn other_nodes_tokens(&self) -> BTreeMap<BackendId, u32> {
         let own_node = &self.context.node;
         self.context.expected_tokens(|node| node != own_node)
     }
--- a/crates/gateway/src/engine/carried.rs
+++ b/crates/gateway/src/engine/carried_over.rs
@@ -14,7 +14,7 @@
 
 /// Items of a batch that an earlier batch holds too.
 #[derive(Debug)]
-pub(super) struct Carried {
+pub(super) struct CarriedOver {
     pub(super) items: HashSet<ItemId>,
     /// Whether all earlier batches were known.
     is_final: bool,
@@ -22,38 +22,39 @@
 
 impl Engine {
     /// Notes which items of this node's new batches in a partition are in an earlier batch too.
-    pub(super) fn note_carried(&mut self, partition: usize) {
+    pub(super) fn find_carried_over(&mut self, partition: usize) {
         let inner = self.context.partitions.at(partition).lock();
         let new: Vec<NewBatch> = inner
             .state
             .batches()
-            .filter(|batch| self.is_own(batch) && !self.knows_carried(&batch.id))
+            .filter(|batch| self.is_own(batch) && !self.has_final_carried_over(&batch.id))
             .map(NewBatch::of)
             .collect();
         drop(inner);
         let is_final = self.context.partitions.know_needed(self.context.now());
         for batch in new {
-            let items = carried_items(&self.context, &batch);
-            self.carried.insert(batch.id, Carried { items, is_final });
+            let items = find_carried_over_items(&self.context, &batch);
+            self.carried_over
+                .insert(batch.id, CarriedOver { items, is_final });
         }
     }
 
     /// Whether all earlier batches were looked through for this one's items.
-    fn knows_carried(&self, batch: &BatchId) -> bool {
-        self.carried
+    fn has_final_carried_over(&self, batch: &BatchId) -> bool {
+        self.carried_over
             .get(batch)
-            .is_some_and(|carried| carried.is_final)
+            .is_some_and(|carried_over| carried_over.is_final)
     }
 
     /// Takes over what an earlier batch has of the item; true if that is its whole output.
-    pub(super) fn take_from_earlier_batch(&mut self, key: &ItemKey, waiting: &WaitingItem) -> bool {
+    pub(super) fn reuse_earlier_output(&mut self, key: &ItemKey, waiting: &WaitingItem) -> bool {
         if self.items.get(key).is_none_or(|item| item.events > 0) {
             return false;
         }
         let is_carried = self
-            .carried
+            .carried_over
             .get(&key.batch)
-            .is_some_and(|carried| carried.items.contains(&key.item));
+            .is_some_and(|carried_over| carried_over.items.contains(&key.item));
         if !is_carried {
             return false;
         }
@@ -61,22 +62,22 @@
         let Some(batch) = inner.state.batch(&key.batch) else {
             return false;
         };
-        let rule = KeptRule {
+        let rule = ReuseRule {
             tenant: batch.tenant.clone(),
             minimum: waiting.minimum_version,
             is_single: self.is_single_version(batch),
         };
         drop(inner);
-        let Some(kept) = kept_output(&self.context, key, &rule) else {
+        let Some(earlier) = find_earlier_output(&self.context, key, &rule) else {
             return false;
         };
         info!(event = "output_kept", request = key.item.as_str(), batch = key.batch.as_str(),
-            events = kept.events.len(), is_whole = kept.is_whole; "");
-        self.take_kept_output(key, kept.events);
-        if kept.is_whole {
-            self.text_is_whole(key);
+            events = earlier.events.len(), is_whole = earlier.is_whole; "");
+        self.adopt_output(key, earlier.events);
+        if earlier.is_whole {
+            self.score_or_finish(key);
         }
-        kept.is_whole
+        earlier.is_whole
     }
 }
 
@@ -98,26 +99,26 @@
 }
 
 /// Items of a batch that another batch of the same tenant holds too.
-fn carried_items(context: &Context, batch: &NewBatch) -> HashSet<ItemId> {
-    let mut carried = HashSet::new();
+fn find_carried_over_items(context: &Context, batch: &NewBatch) -> HashSet<ItemId> {
+    let mut carried_over = HashSet::new();
     for index in context.partitions.needed() {
         let inner = context.partitions.at(index).lock();
         let others = inner.state.batches();
         for other in others.filter(|other| other.id != batch.id && other.tenant == batch.tenant) {
             let items = batch.items.iter();
-            carried.extend(items.filter(|item| other.item(item).is_some()).cloned());
+            carried_over.extend(items.filter(|item| other.item(item).is_some()).cloned());
         }
     }
-    carried
+    carried_over
 }
 
-struct KeptOutput {
+struct EarlierOutput {
     events: Vec<OutputEvent>,
     is_whole: bool,
 }
 
 /// Which kept output a batch may use.
-struct KeptRule {
+struct ReuseRule {
     /// The tenant that both batches belong to: one must not get at another's output by naming its items.
     tenant: Option<TenantName>,
     /// The oldest version that may have made an event.
@@ -127,8 +128,12 @@
 }
 
 /// The longest output that another batch of the tenant has of the item, if all its versions are allowed.
-fn kept_output(context: &Context, key: &ItemKey, rule: &KeptRule) -> Option<KeptOutput> {
-    let mut best: Option<KeptOutput> = None;
+fn find_earlier_output(
+    context: &Context,
+    key: &ItemKey,
+    rule: &ReuseRule,
+) -> Option<EarlierOutput> {
+    let mut best: Option<EarlierOutput> = None;
     for index in context.partitions.needed() {
         let inner = context.partitions.at(index).lock();
         let others = inner.state.batches();
@@ -148,7 +153,7 @@
                 .as_ref()
                 .is_none_or(|best| events.len() > best.events.len());
             if is_allowed && is_better && !events.is_empty() {
-                best = Some(KeptOutput {
+                best = Some(EarlierOutput {
                     events: events.clone(),
                     is_whole,
                 });
--- a/crates/gateway/src/engine/claim.rs
+++ b/crates/gateway/src/engine/claim.rs
@@ -10,7 +10,7 @@
 use log::{info, warn};
 use tokio::sync::mpsc::UnboundedSender;
 
-use super::TaskEnded;
+use super::TaskEnd;
 use super::leases::is_claimable;
 use crate::claim_timing::claim_timing;
 use crate::context::Context;
@@ -27,11 +27,11 @@
     /// Another node has claimed it, though it has not said so to all yet.
     HeldBy(NodeId),
     /// It could not be claimed; not before a while has passed.
-    NotNow,
+    RetryLater,
 }
 
 /// What a batch's partition, read to its end, says to a claim.
-enum Standing {
+enum ClaimCheck {
     /// It may be claimed under the next term.
     Claimable { term: Term, former: Option<NodeId> },
     /// Nothing is left to be done.
@@ -43,7 +43,7 @@
 }
 
 /// When this node may claim a batch, by what the index tells of its owner.
-pub(super) fn timing_of(context: &Context, batch: &IndexedBatch) -> ClaimTiming {
+pub(super) fn batch_claim_timing(context: &Context, batch: &IndexedBatch) -> ClaimTiming {
     let owner = batch.owner.holder().map(ToString::to_string);
     let owner = owner.unwrap_or_default();
     let claim = format!("{} {} {owner}", context.node, batch.notice.batch);
@@ -55,17 +55,17 @@
 pub(super) async fn claim(
     context: Arc<Context>,
     batch: BatchId,
-    silent: Option<NodeId>,
-    sender: UnboundedSender<TaskEnded>,
+    silent_holder: Option<NodeId>,
+    sender: UnboundedSender<TaskEnd>,
 ) {
-    let claimed = claim_once(&context, &batch, silent.as_ref()).await;
+    let claimed = claim_once(&context, &batch, silent_holder.as_ref()).await;
     let outcome = claimed.unwrap_or_else(|error| {
         warn!(event = "claim_failed", batch = batch.as_str(),
             reason = error.to_string().as_str(); "");
-        ClaimOutcome::NotNow
+        ClaimOutcome::RetryLater
     });
     // The engine is gone only when the process ends.
-    let _ = sender.send(TaskEnded::Claim { batch, outcome });
+    let _ = sender.send(TaskEnd::Claim { batch, outcome });
 }
 
 /// Claims a batch if the index, read to its end, still shows no sign of its owner, and the batch's
@@ -73,7 +73,7 @@
 async fn claim_once(
     context: &Context,
     batch: &BatchId,
-    silent: Option<&NodeId>,
+    silent_holder: Option<&NodeId>,
 ) -> Result<ClaimOutcome, LogError> {
     let (log, clock) = (context.log.as_ref(), context.clock);
     let confirmed = context.control.confirm(log, clock, Duration::ZERO).await;
@@ -82,15 +82,15 @@
         return Err(error);
     }
     let Some(indexed) = still_claimable(context, batch) else {
-        return Ok(ClaimOutcome::NotNow);
+        return Ok(ClaimOutcome::RetryLater);
     };
     let view = context.partition_of(batch);
     view.confirm(log, clock, Duration::ZERO).await?;
-    let (term, former) = match standing(context, &indexed, silent) {
-        Standing::Claimable { term, former } => (term, former),
-        Standing::Closed => return Ok(ClaimOutcome::Closed),
-        Standing::HeldBy(node) => return Ok(ClaimOutcome::HeldBy(node)),
-        Standing::Unknown => return Ok(ClaimOutcome::NotNow),
+    let (term, former) = match check_claim(context, &indexed, silent_holder) {
+        ClaimCheck::Claimable { term, former } => (term, former),
+        ClaimCheck::Closed => return Ok(ClaimOutcome::Closed),
+        ClaimCheck::HeldBy(node) => return Ok(ClaimOutcome::HeldBy(node)),
+        ClaimCheck::Unknown => return Ok(ClaimOutcome::RetryLater),
     };
     let record = BatchRecord::Claimed {
         batch: batch.clone(),
@@ -105,7 +105,7 @@
     view.confirm(log, clock, Duration::ZERO).await?;
     match context.holds(batch) {
         true => Ok(ClaimOutcome::Claimed),
-        false => Ok(ClaimOutcome::NotNow),
+        false => Ok(ClaimOutcome::RetryLater),
     }
 }
 
@@ -118,28 +118,32 @@
     is_claimable(context, &indexed, readable_since, now).then_some(indexed)
 }
 
-fn standing(context: &Context, indexed: &IndexedBatch, silent: Option<&NodeId>) -> Standing {
+fn check_claim(
+    context: &Context,
+    indexed: &IndexedBatch,
+    silent_holder: Option<&NodeId>,
+) -> ClaimCheck {
     let inner = context.partition_of(&indexed.notice.batch).lock();
     let Some(state) = inner.state.batch(&indexed.notice.batch) else {
-        return Standing::Unknown;
+        return ClaimCheck::Unknown;
     };
     if state.is_closed() {
-        return Standing::Closed;
+        return ClaimCheck::Closed;
     }
     // Its tenant is known only now.
     let residency = context.batch_residency(&state.host, &state.path, state.tenant.as_ref());
     if !residency.allows(context.own_region().as_ref()) {
-        return Standing::Unknown;
+        return ClaimCheck::Unknown;
     }
     // A node that holds the lease and that the index does not name has claimed it only now, or died
     // before it could say so.
     let named = indexed.owner.holder();
-    let rival = state.lease.holder().filter(|holder| {
-        Some(*holder) != named && Some(*holder) != silent && **holder != context.node
+    let other_holder = state.lease.holder().filter(|holder| {
+        Some(*holder) != named && Some(*holder) != silent_holder && **holder != context.node
     });
-    match rival {
-        Some(rival) => Standing::HeldBy(rival.clone()),
-        None => Standing::Claimable {
+    match other_holder {
+        Some(other_holder) => ClaimCheck::HeldBy(other_holder.clone()),
+        None => ClaimCheck::Claimable {
             term: state.lease.term(),
             former: state.lease.holder().cloned(),
         },
--- a/crates/gateway/src/engine/ends_seen.rs
+++ b/crates/gateway/src/engine/ended_batches.rs
@@ -17,7 +17,7 @@
 impl Engine {
     /// Tells of each batch that ended among the items that are about to be dropped. There is one line for a
     /// batch, since no item of an ended batch is started again.
-    pub(super) fn tell_ends_seen(&self, dropped: &[(ItemKey, &'static str)]) {
+    pub(super) fn log_ended_batches(&self, dropped: &[(ItemKey, &'static str)]) {
         let mut items_of: BTreeMap<&BatchId, usize> = BTreeMap::new();
         for (key, reason) in dropped {
             if *reason == BATCH_ENDED {
--- a/crates/gateway/src/engine/writing.rs
+++ b/crates/gateway/src/engine/flush.rs
@@ -8,10 +8,10 @@
 use log::warn;
 
 use super::outbox::{AppendLimits, Outbox};
-use super::{Engine, TaskEnded};
+use super::{Engine, TaskEnd};
 
 impl Engine {
-    pub(super) fn write_down(&mut self) {
+    pub(super) fn flush_outboxes(&mut self) {
         let now = self.context.now();
         let tuning = &self.context.settings.tuning;
         let (flush_ms, progress_ms) = (tuning.flush_ms, tuning.progress_ms);
@@ -40,18 +40,18 @@
             }
         }
         for record in records {
-            self.push(partition, &record);
+            self.queue_record(partition, &record);
         }
     }
 
     pub(super) fn append(&mut self, partition: usize, now: Millis) {
         let outbox = self.outbox(partition);
-        if !outbox.may_begin(now) {
+        if !outbox.can_begin_append(now) {
             return;
         }
-        let records = outbox.begin(now);
+        let records = outbox.begin_append(now);
         let context = self.context.clone();
-        let sender = self.ended_sender.clone();
+        let sender = self.task_end_sender.clone();
         tokio::spawn(async move {
             let id = context.partitions.at(partition).id;
             let began = Instant::now();
@@ -62,7 +62,7 @@
                     reason = error.to_string().as_str(); "");
             }
             let is_done = appended.is_ok();
-            let _ = sender.send(TaskEnded::Append {
+            let _ = sender.send(TaskEnd::Append {
                 partition,
                 is_done,
                 took_ms,
@@ -70,7 +70,7 @@
         });
     }
 
-    pub(super) fn push(&mut self, partition: usize, record: &BatchRecord) {
+    pub(super) fn queue_record(&mut self, partition: usize, record: &BatchRecord) {
         if !self.outbox(partition).push(record) {
             warn!(event = "record_too_large", batch = record.batch().as_str(); "");
         }
--- a/crates/gateway/src/engine/heartbeat.rs
+++ b/crates/gateway/src/engine/heartbeat.rs
@@ -16,12 +16,12 @@
 
 /// Time after which places that are taken are told again though nothing changed: well within the age
 /// up to which they count.
-const TELL_PLACES_AGAIN_MS: Millis = 1_000;
+const OCCUPANCY_REFRESH_MS: Millis = 1_000;
 
 /// Time after which this node's address is told again, for nodes that missed it.
-const TELL_ADDRESS_AGAIN_MS: Millis = 20_000;
+const ADDRESS_REFRESH_MS: Millis = 20_000;
 /// The same while it was not read back: the record may be lost.
-const ADDRESS_UNREAD_MS: Millis = 1_000;
+const ADDRESS_RETRY_MS: Millis = 1_000;
 
 /// Microseconds in a millisecond.
 const US_PER_MS: f64 = 1_000.0;
@@ -29,54 +29,54 @@
 /// What was last told, and when.
 #[derive(Debug, Default)]
 pub(super) struct Heartbeats {
-    served_at: Millis,
+    heartbeat_at: Millis,
     batches: BTreeSet<BatchId>,
-    is_telling: Arc<AtomicBool>,
+    is_sending: Arc<AtomicBool>,
     address_at: Option<Millis>,
-    occupied_at: Millis,
-    occupied: Option<OccupancyRecord>,
+    occupancy_at: Millis,
+    last_occupancy: Option<OccupancyRecord>,
 }
 
 impl Engine {
     /// Says that this node is alive and runs these batches, when it is due or they have changed.
-    pub(super) fn tell_what_runs(&mut self, held: &[HeldBatch], now: Millis) {
-        self.tell_places(now);
+    pub(super) fn send_heartbeat(&mut self, held: &[HeldBatch], now: Millis) {
+        self.report_occupancy(now);
         let batches = open_ids(held);
         let keep_ms = self.context.settings.tuning.keep_ms;
         let has_new = !batches.is_subset(&self.heartbeats.batches);
-        let is_due = has_new || now.saturating_sub(self.heartbeats.served_at) >= keep_ms;
-        if held.is_empty() || !is_due || !begin(&self.heartbeats.is_telling) {
+        let is_due = has_new || now.saturating_sub(self.heartbeats.heartbeat_at) >= keep_ms;
+        if held.is_empty() || !is_due || !try_begin(&self.heartbeats.is_sending) {
             return;
         }
-        self.tell_address(now);
-        self.heartbeats.served_at = now;
+        self.announce_address(now);
+        self.heartbeats.heartbeat_at = now;
         self.heartbeats.batches = batches.clone();
         let record = ControlRecord::Heartbeat {
             node: self.context.node.clone(),
             routes: self.served_routes(held),
             batches: batches.into_iter().collect(),
         };
-        let (context, is_telling) = (self.context.clone(), self.heartbeats.is_telling.clone());
+        let (context, is_sending) = (self.context.clone(), self.heartbeats.is_sending.clone());
         tokio::spawn(async move {
             append_repeated(context, CONTROL, record).await;
-            is_telling.store(false, Ordering::Release);
+            is_sending.store(false, Ordering::Release);
         });
     }
 
     /// Says where this node answers questions about the batches that it runs, once more if that cannot be read
     /// in the control stream.
-    fn tell_address(&mut self, now: Millis) {
+    fn announce_address(&mut self, now: Millis) {
         let Some(address) = self.context.peers.own_address() else {
             return;
         };
         let node = &self.context.node;
         let is_known = self.context.control.lock().state.peers().of(node).is_some();
         let pause_ms = match is_known {
-            true => TELL_ADDRESS_AGAIN_MS,
-            false => ADDRESS_UNREAD_MS,
+            true => ADDRESS_REFRESH_MS,
+            false => ADDRESS_RETRY_MS,
         };
-        let told_at = self.heartbeats.address_at;
-        if told_at.is_some_and(|at| now.saturating_sub(at) < pause_ms) {
+        let last_at = self.heartbeats.address_at;
+        if last_at.is_some_and(|at| now.saturating_sub(at) < pause_ms) {
             return;
         }
         self.heartbeats.address_at = Some(now);
@@ -107,7 +107,7 @@
     /// to leave a slow one alone also when no item runs there any more.
     fn backend_details(&self, now: Millis) -> BTreeMap<BackendId, BackendDetail> {
         let mut details: BTreeMap<BackendId, BackendDetail> = BTreeMap::new();
-        for (backend, tokens) in self.lengths.expected_tokens() {
+        for (backend, tokens) in self.item_lengths.expected_tokens() {
             details.entry(backend.clone()).or_default().expected_tokens = tokens;
         }
         let backends = self.context.backends.lock();
@@ -118,33 +118,33 @@
         details
     }
 
-    fn tell_places(&mut self, now: Millis) {
+    fn report_occupancy(&mut self, now: Millis) {
         let record = OccupancyRecord {
             node: self.context.node.clone(),
-            running: self.running_here(),
+            running: self.own_running_by_backend(),
             details: self.backend_details(now),
         };
         // Expected tokens change with each event; they go along when the places are told.
-        let told = self.heartbeats.occupied.as_ref();
-        let is_same = told.map_or(record.running.is_empty(), |told| {
-            told.running == record.running
+        let last = self.heartbeats.last_occupancy.as_ref();
+        let is_same = last.map_or(record.running.is_empty(), |last| {
+            last.running == record.running
         });
-        let age = now.saturating_sub(self.heartbeats.occupied_at);
+        let age = now.saturating_sub(self.heartbeats.occupancy_at);
         let pause_ms = match is_same {
             true if record.running.is_empty() => return,
-            true => TELL_PLACES_AGAIN_MS,
+            true => OCCUPANCY_REFRESH_MS,
             false => self.context.settings.tuning.keep_ms,
         };
         if age < pause_ms {
             return;
         }
-        self.heartbeats.occupied_at = now;
-        self.heartbeats.occupied = Some(record.clone());
+        self.heartbeats.occupancy_at = now;
+        self.heartbeats.last_occupancy = Some(record.clone());
         tokio::spawn(append_repeated(self.context.clone(), OCCUPANCY, record));
     }
 }
 
 /// Whether no heartbeat is under way; if so, one is from now on.
-fn begin(is_telling: &AtomicBool) -> bool {
-    !is_telling.swap(true, Ordering::Acquire)
+fn try_begin(is_sending: &AtomicBool) -> bool {
+    !is_sending.swap(true, Ordering::Acquire)
 }
--- a/crates/gateway/src/engine/lengths.rs
+++ b/crates/gateway/src/engine/item_lengths.rs
@@ -14,15 +14,20 @@
 
 /// What is known of the lengths of items, and of the memory that they take.
 #[derive(Debug, Default)]
-pub(super) struct Lengths {
+pub(super) struct ItemLengths {
     by_pool: BTreeMap<PoolName, LengthHistory>,
     /// This node's items on each back end, as of the last plan.
     on_backends: BTreeMap<BackendId, Vec<ItemTokens>>,
 }
 
-impl Lengths {
+impl ItemLengths {
     /// Tokens still expected of an item that made so many.
-    pub(super) fn remaining(&self, pool: &PoolName, item: &ItemState, made_tokens: u32) -> u32 {
+    pub(super) fn expected_remaining(
+        &self,
+        pool: &PoolName,
+        item: &ItemState,
+        made_tokens: u32,
+    ) -> u32 {
         match self.by_pool.get(pool) {
             Some(history) => history.expected_remaining(item.expected_tokens, made_tokens),
             None => LengthHistory::default().expected_remaining(item.expected_tokens, made_tokens),
@@ -30,7 +35,7 @@
     }
 
     /// This node's items on a back end.
-    pub(super) fn on(&self, backend: &BackendId) -> Vec<ItemTokens> {
+    pub(super) fn items_on(&self, backend: &BackendId) -> Vec<ItemTokens> {
         self.on_backends.get(backend).cloned().unwrap_or_default()
     }
 
@@ -48,14 +53,14 @@
     }
 
     /// Counts what runs in a pool.
-    pub(super) fn count_running(&mut self, running: &[RunningItem]) {
+    pub(super) fn add_running(&mut self, running: &[RunningItem]) {
         for running in running {
-            self.count(&running.backend, running.item.tokens());
+            self.add_item(&running.backend, running.item.tokens());
         }
     }
 
     /// Counts an item on a back end.
-    pub(super) fn count(&mut self, backend: &BackendId, tokens: ItemTokens) {
+    pub(super) fn add_item(&mut self, backend: &BackendId, tokens: ItemTokens) {
         let items = self.on_backends.entry(backend.clone()).or_default();
         items.push(tokens);
     }
@@ -63,16 +68,16 @@
 
 impl Engine {
     /// Remembers how long an item became that ended whole.
-    pub(super) fn note_length(&mut self, key: &ItemKey) {
+    pub(super) fn record_length(&mut self, key: &ItemKey) {
         let Some(item) = self.items.get(key) else {
             return;
         };
-        let (events, guessed_tokens) = (item.events, item.spec.expected_tokens);
+        let (events, estimated_tokens) = (item.events, item.spec.expected_tokens);
         let Some((pool, tokens_per_event)) = self.pool_of(key) else {
             return;
         };
-        let history = self.lengths.by_pool.entry(pool).or_default();
-        history.record_finished(guessed_tokens, events.saturating_mul(tokens_per_event));
+        let history = self.item_lengths.by_pool.entry(pool).or_default();
+        history.record_finished(estimated_tokens, events.saturating_mul(tokens_per_event));
     }
 
     /// The pool that runs an item, and the tokens of its events.
--- a/crates/gateway/src/engine/leases.rs
+++ b/crates/gateway/src/engine/leases.rs
@@ -14,7 +14,7 @@
 use log::{info, warn};
 
 use super::Engine;
-use super::claim::{self, ClaimOutcome, timing_of};
+use super::claim::{self, ClaimOutcome, batch_claim_timing};
 use super::run::ItemKey;
 use crate::claim_timing::claim_again_after_ms;
 use crate::context::{CONTROL, Context};
@@ -22,11 +22,11 @@
 
 /// Time after a batch closed in which its owner still says that it serves the route, so that the
 /// route's next batch can be given to it.
-const LINGER_MS: Millis = 4_000;
+const CLOSED_LINGER_MS: Millis = 4_000;
 /// Pause before a record of the index is appended again.
 const REPEAT_PAUSE: Duration = Duration::from_millis(200);
 /// Time after which a batch that is still open in the index is told to be closed once more.
-const TELL_AGAIN_MS: Millis = 2_000;
+const CLOSED_REPEAT_MS: Millis = 2_000;
 
 /// A batch whose lease this node holds.
 pub(super) struct HeldBatch {
@@ -59,10 +59,10 @@
 
 impl Engine {
     /// Tells which batches this node runs, claims those without an owner, releases all at the end.
-    pub(super) fn follow_leases(&mut self) {
+    pub(super) fn update_leases(&mut self) {
         let now = self.context.now();
         let recent = recent_batches(&self.context, now);
-        self.forget_all_but(&recent);
+        self.retain_recent(&recent);
         let work = self.lease_work(recent, now);
         if self.context.releasing.load(Ordering::Relaxed) {
             self.release_all(work.held);
@@ -71,30 +71,37 @@
         if !work.held.is_empty() {
             self.context.note_busy();
         }
-        self.tell_what_runs(&work.held, now);
+        self.send_heartbeat(&work.held, now);
         for batch in work.closed {
-            self.tell_closed(batch, now);
+            self.announce_closed(batch, now);
         }
         if self.context.is_stopping() {
             return;
         }
         for batch in work.claimable {
             if self.claiming.insert(batch.clone()) {
-                let silent = self.rivals.remove(&batch);
-                let sender = self.ended_sender.clone();
-                tokio::spawn(claim::claim(self.context.clone(), batch, silent, sender));
+                let silent_holder = self.unindexed_holders.remove(&batch);
+                let sender = self.task_end_sender.clone();
+                tokio::spawn(claim::claim(
+                    self.context.clone(),
+                    batch,
+                    silent_holder,
+                    sender,
+                ));
             }
         }
     }
 
     /// Forgets what was noted of batches that are long closed.
-    fn forget_all_but(&mut self, recent: &[IndexedBatch]) {
+    fn retain_recent(&mut self, recent: &[IndexedBatch]) {
         let recent: BTreeSet<&BatchId> = recent.iter().map(|batch| &batch.notice.batch).collect();
-        self.told_closed.retain(|batch, _| recent.contains(batch));
-        self.not_claimed_before
+        self.closed_announced_at
             .retain(|batch, _| recent.contains(batch));
-        self.rivals.retain(|batch, _| recent.contains(batch));
-        self.carried.retain(|batch, _| recent.contains(batch));
+        self.claim_not_before
+            .retain(|batch, _| recent.contains(batch));
+        self.unindexed_holders
+            .retain(|batch, _| recent.contains(batch));
+        self.carried_over.retain(|batch, _| recent.contains(batch));
     }
 
     fn lease_work(&self, recent: Vec<IndexedBatch>, now: Millis) -> LeaseWork {
@@ -102,7 +109,7 @@
         let mut work = LeaseWork::default();
         for batch in recent {
             let id = &batch.notice.batch;
-            match copy_of(&self.context, id, now) {
+            match read_local_copy(&self.context, id, now) {
                 LocalCopy::Present { lease, is_open } if lease.is_held_by(&self.context.node) => {
                     if !is_open && batch.is_open() {
                         work.closed.push(id.clone());
@@ -110,23 +117,20 @@
                     work.held.push(held(&batch, &lease, is_open));
                     continue;
                 }
-                LocalCopy::Absent if never_came(&batch, now) => work.closed.push(id.clone()),
+                LocalCopy::Absent if are_items_missing(&batch, now) => work.closed.push(id.clone()),
                 _ => {}
             }
             if readable_since.is_some_and(|since| is_claimable(&self.context, &batch, since, now)) {
                 work.claimable.push(id.clone());
             }
         }
-        work.claimable.retain(|batch| {
-            self.not_claimed_before
-                .get(batch)
-                .is_none_or(|at| *at <= now)
-        });
+        work.claimable
+            .retain(|batch| self.claim_not_before.get(batch).is_none_or(|at| *at <= now));
         work
     }
 
     /// A claim ended; the batch is left alone for a while unless this node holds it now.
-    pub(super) fn claim_ended(&mut self, batch: BatchId, outcome: ClaimOutcome) {
+    pub(super) fn handle_claim_end(&mut self, batch: BatchId, outcome: ClaimOutcome) {
         self.claiming.remove(&batch);
         self.needs_plan = true;
         let now = self.context.now();
@@ -135,24 +139,24 @@
         let again_after_ms = claim_again_after_ms(&self.context, &claim);
         match outcome {
             ClaimOutcome::Claimed => {}
-            ClaimOutcome::Closed => self.tell_closed(batch, now),
-            ClaimOutcome::HeldBy(rival) => {
-                self.rivals.insert(batch.clone(), rival);
-                self.not_claimed_before.insert(batch, now + silence_ms);
+            ClaimOutcome::Closed => self.announce_closed(batch, now),
+            ClaimOutcome::HeldBy(other_holder) => {
+                self.unindexed_holders.insert(batch.clone(), other_holder);
+                self.claim_not_before.insert(batch, now + silence_ms);
             }
-            ClaimOutcome::NotNow => {
-                self.not_claimed_before.insert(batch, now + again_after_ms);
+            ClaimOutcome::RetryLater => {
+                self.claim_not_before.insert(batch, now + again_after_ms);
             }
         }
     }
 
     /// Tells all nodes that nothing is left to be done about a batch.
-    fn tell_closed(&mut self, batch: BatchId, now: Millis) {
-        let told = self.told_closed.get(&batch);
-        if told.is_some_and(|at| now.saturating_sub(*at) < TELL_AGAIN_MS) {
+    fn announce_closed(&mut self, batch: BatchId, now: Millis) {
+        let announced_at = self.closed_announced_at.get(&batch);
+        if announced_at.is_some_and(|at| now.saturating_sub(*at) < CLOSED_REPEAT_MS) {
             return;
         }
-        self.told_closed.insert(batch.clone(), now);
+        self.closed_announced_at.insert(batch.clone(), now);
         let context = self.context.clone();
         let record = ControlRecord::BatchClosed { batch };
         tokio::spawn(append_repeated(context, CONTROL, record));
@@ -163,19 +167,19 @@
         if !self.has_released {
             self.has_released = true;
             info!(event = "batches_released", count = open.len(); "");
-            self.releases = open.iter().map(|held| held.batch.clone()).collect();
+            self.released_batches = open.iter().map(|held| held.batch.clone()).collect();
             for HeldBatch { batch, term, .. } in open {
                 self.stop_items_of(&batch);
                 let partition = self.context.partitions.index_of(&batch);
-                self.push(partition, &BatchRecord::Released { batch, term });
+                self.queue_record(partition, &BatchRecord::Released { batch, term });
                 self.outbox(partition).is_urgent = true;
             }
         }
         let is_written = self.outboxes.values().all(|outbox| outbox.is_empty());
-        if is_written && !self.has_told_release {
-            self.has_told_release = true;
-            let batches = std::mem::take(&mut self.releases);
-            tokio::spawn(tell_release(self.context.clone(), batches));
+        if is_written && !self.is_release_announced {
+            self.is_release_announced = true;
+            let batches = std::mem::take(&mut self.released_batches);
+            tokio::spawn(announce_release(self.context.clone(), batches));
         }
     }
 
@@ -193,7 +197,7 @@
 }
 
 /// Tells all nodes that batches have no owner; they wait for it only until this node's time is up.
-async fn tell_release(context: Arc<Context>, batches: Vec<BatchId>) {
+async fn announce_release(context: Arc<Context>, batches: Vec<BatchId>) {
     if batches.is_empty() {
         context.released.store(true, Ordering::Relaxed);
         return;
@@ -215,7 +219,7 @@
     let is_recent = |batch: &&IndexedBatch| {
         batch
             .closed_at
-            .is_none_or(|closed| now.saturating_sub(closed) < LINGER_MS)
+            .is_none_or(|closed| now.saturating_sub(closed) < CLOSED_LINGER_MS)
     };
     control
         .state
@@ -236,7 +240,7 @@
     }
 }
 
-fn copy_of(context: &Context, batch: &BatchId, now: Millis) -> LocalCopy {
+fn read_local_copy(context: &Context, batch: &BatchId, now: Millis) -> LocalCopy {
     let view = context.partition_of(batch);
     let is_read_to_end = !view.is_behind(now);
     let inner = view.lock();
@@ -251,9 +255,9 @@
 }
 
 /// An owner that says that it runs the batch has read its items, though they may be dropped by now.
-fn never_came(batch: &IndexedBatch, now: Millis) -> bool {
-    let last_sign = batch.first_seen.max(batch.owner.last_seen());
-    batch.is_open() && now.saturating_sub(last_sign) > MISSING_ITEMS_TIMEOUT_MS
+fn are_items_missing(batch: &IndexedBatch, now: Millis) -> bool {
+    let last_seen = batch.first_seen.max(batch.owner.last_seen());
+    batch.is_open() && now.saturating_sub(last_seen) > MISSING_ITEMS_TIMEOUT_MS
 }
 
 /// Whether this node may claim a batch, by what the index tells of its owner.
@@ -263,7 +267,7 @@
     readable_since: Millis,
     now: Millis,
 ) -> bool {
-    let timing = timing_of(context, batch);
+    let timing = batch_claim_timing(context, batch);
     let at = match batch.owner.is_held_by(&context.node) {
         // The index names this node, and the batch's own partition another, which would have told.
         true => batch.owner.last_seen().max(readable_since) + timing.silence_ms,
@@ -271,11 +275,11 @@
             .owner
             .claimable_at(&context.node, readable_since, &timing),
     };
-    batch.is_open() && now >= at && may_own(context, batch)
+    batch.is_open() && now >= at && can_own(context, batch)
 }
 
 /// Whether a batch may be kept in this node's region, by its route.
-fn may_own(context: &Context, batch: &IndexedBatch) -> bool {
+fn can_own(context: &Context, batch: &IndexedBatch) -> bool {
     let BatchNotice { host, path, .. } = &batch.notice;
     let residency = context.batch_residency(host, path, None);
     residency.allows(context.own_region().as_ref())
--- a/crates/gateway/src/engine/mod.rs
+++ b/crates/gateway/src/engine/mod.rs
@@ -3,24 +3,24 @@
 //! One task holds all state. Runs and reward calls are tasks that report to it; what they bring is
 //! appended to the log in groups, and only the log's fold decides what counts.
 
+mod active_item;
 mod barred;
 mod candidates;
-mod carried;
+mod carried_over;
 mod claim;
-mod ends_seen;
+mod ended_batches;
+mod flush;
 mod heartbeat;
-mod held_back;
+mod item_lengths;
 mod leases;
-mod lengths;
-mod live;
 mod outbox;
+mod paused_starts;
 mod plan;
 mod reward;
 mod run;
-mod runs;
+mod run_messages;
 mod stalls;
 mod start;
-mod writing;
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
@@ -37,64 +37,64 @@
 use crate::context::Context;
 use crate::metrics;
 use crate::work_pace::WorkPace;
-use carried::Carried;
+use active_item::{ActiveItem, Phase};
+use carried_over::CarriedOver;
 use claim::ClaimOutcome;
-use ends_seen::BATCH_ENDED;
+use ended_batches::BATCH_ENDED;
 use heartbeat::Heartbeats;
-use held_back::HeldBack;
-use lengths::Lengths;
-use live::{LiveItem, Phase};
+use item_lengths::ItemLengths;
 use outbox::Outbox;
+use paused_starts::PausedStarts;
 use run::{ItemKey, RunMessage};
 use stalls::StallWatch;
 
 /// Rest after a plan, as a multiple of the time it took: planning uses at most a third of the processor.
-const PLAN_REST: u32 = 2;
+const PLAN_REST_FACTOR: u32 = 2;
 /// Pause between two looks at the work when nothing runs.
 const IDLE_PAUSE: Duration = Duration::from_millis(250);
 /// Time after which an end that was written down must be seen in the log.
-const END_SEEN_AFTER_MS: Millis = 3_000;
+const END_READ_TIMEOUT_MS: Millis = 3_000;
 /// Time that a route without a bound of its own gives an item.
-const DEFAULT_GIVE_UP_MS: Millis = 60_000;
+const DEFAULT_GIVE_UP_AFTER_MS: Millis = 60_000;
 
 /// Why an item is dropped whose result is listed.
-const LISTED: &str = "listed";
+const RESULT_LISTED: &str = "listed";
 /// Why an item is dropped that is no longer known: records of its partition were dropped before they were
 /// read here, or its batch is past its retention.
-const NOT_KNOWN: &str = "not_known";
+const ITEM_UNKNOWN: &str = "not_known";
 
 /// Runs items until the process ends.
 pub struct Engine {
     context: Arc<Context>,
-    items: BTreeMap<ItemKey, LiveItem>,
+    items: BTreeMap<ItemKey, ActiveItem>,
     outboxes: BTreeMap<usize, Outbox>,
     claiming: HashSet<BatchId>,
-    not_claimed_before: HashMap<BatchId, Millis>,
+    claim_not_before: HashMap<BatchId, Millis>,
     /// Nodes that held a lease when this one tried to claim it, unknown to the index.
-    rivals: HashMap<BatchId, NodeId>,
-    told_closed: HashMap<BatchId, Millis>,
+    unindexed_holders: HashMap<BatchId, NodeId>,
+    closed_announced_at: HashMap<BatchId, Millis>,
     heartbeats: Heartbeats,
     has_released: bool,
     /// Batches whose release is to be told once it is written.
-    releases: Vec<BatchId>,
-    has_told_release: bool,
+    released_batches: Vec<BatchId>,
+    is_release_announced: bool,
     breakers: HashMap<BackendId, CircuitBreaker>,
     stalls: StallWatch,
-    lengths: Lengths,
-    carried: HashMap<BatchId, Carried>,
-    held_back: BTreeMap<usize, HeldBack>,
+    item_lengths: ItemLengths,
+    carried_over: HashMap<BatchId, CarriedOver>,
+    paused_starts: BTreeMap<usize, PausedStarts>,
     /// Items of which it was told that they are barred.
-    told_barred: HashSet<ItemKey>,
-    news: UnboundedReceiver<RunMessage>,
-    news_sender: UnboundedSender<RunMessage>,
-    ended: UnboundedReceiver<TaskEnded>,
-    ended_sender: UnboundedSender<TaskEnded>,
+    logged_barred: HashSet<ItemKey>,
+    run_messages: UnboundedReceiver<RunMessage>,
+    run_message_sender: UnboundedSender<RunMessage>,
+    task_ends: UnboundedReceiver<TaskEnd>,
+    task_end_sender: UnboundedSender<TaskEnd>,
     needs_plan: bool,
     pace: WorkPace,
 }
 
 /// A helper task ended.
-enum TaskEnded {
+enum TaskEnd {
     Append {
         partition: usize,
         is_done: bool,
@@ -109,32 +109,32 @@
 impl Engine {
     /// An engine without work.
     pub fn new(context: Arc<Context>) -> Self {
-        let (news_sender, news) = mpsc::unbounded_channel();
-        let (ended_sender, ended) = mpsc::unbounded_channel();
+        let (run_message_sender, run_messages) = mpsc::unbounded_channel();
+        let (task_end_sender, task_ends) = mpsc::unbounded_channel();
         Self {
             context,
             items: BTreeMap::new(),
             outboxes: BTreeMap::new(),
             claiming: HashSet::new(),
-            not_claimed_before: HashMap::new(),
-            rivals: HashMap::new(),
-            told_closed: HashMap::new(),
+            claim_not_before: HashMap::new(),
+            unindexed_holders: HashMap::new(),
+            closed_announced_at: HashMap::new(),
             heartbeats: Heartbeats::default(),
             has_released: false,
-            releases: Vec::new(),
-            has_told_release: false,
+            released_batches: Vec::new(),
+            is_release_announced: false,
             breakers: HashMap::new(),
             stalls: StallWatch::default(),
-            lengths: Lengths::default(),
-            carried: HashMap::new(),
-            held_back: BTreeMap::new(),
-            told_barred: HashSet::new(),
-            news,
-            news_sender,
-            ended,
-            ended_sender,
+            item_lengths: ItemLengths::default(),
+            carried_over: HashMap::new(),
+            paused_starts: BTreeMap::new(),
+            logged_barred: HashSet::new(),
+            run_messages,
+            run_message_sender,
+            task_ends,
+            task_end_sender,
             needs_plan: true,
-            pace: WorkPace::new(PLAN_REST),
+            pace: WorkPace::new(PLAN_REST_FACTOR),
         }
     }
 
@@ -144,26 +144,26 @@
         loop {
             let pause = self.pause();
             tokio::select! {
-                Some(message) = self.news.recv() => self.take_news(message),
-                Some(ended) = self.ended.recv() => self.take_ended(ended),
+                Some(message) = self.run_messages.recv() => self.handle_run_message(message),
+                Some(task_ends) = self.task_ends.recv() => self.handle_task_end(task_ends),
                 () = context.work.notified() => self.needs_plan = true,
                 () = tokio::time::sleep(pause) => self.needs_plan = true,
             }
-            while let Ok(message) = self.news.try_recv() {
-                self.take_news(message);
+            while let Ok(message) = self.run_messages.try_recv() {
+                self.handle_run_message(message);
             }
             self.end_stalled_runs();
             if self.needs_plan && self.pace.is_due() {
                 self.needs_plan = false;
                 let began = Instant::now();
-                self.follow_log();
-                self.follow_leases();
+                self.drop_settled_items();
+                self.update_leases();
                 self.context.choose_what_to_follow();
                 self.plan();
                 metrics::items_running(self.items.len());
                 self.pace.done(began);
             }
-            self.write_down();
+            self.flush_outboxes();
         }
     }
 
@@ -183,12 +183,12 @@
         if let Some(mut item) = self.items.remove(key)
             && let Some(progress) = item.take_progress(key)
         {
-            self.push(item.partition, &progress);
+            self.queue_record(item.partition, &progress);
         }
     }
 
     /// Whether an end was written down long enough ago to be seen, if it had counted.
-    fn was_not_taken(&self, item: &LiveItem, confirmed: Option<Millis>) -> bool {
+    fn is_end_overdue(&self, item: &ActiveItem, confirmed: Option<Millis>) -> bool {
         let Phase::Finishing { since } = &item.phase else {
             return false;
         };
@@ -197,21 +197,21 @@
             None => Some(0),
         };
         // It may have waited long to be written, while the log was away.
-        written
-            .zip(confirmed)
-            .is_some_and(|(written, confirmed)| confirmed > written.max(*since) + END_SEEN_AFTER_MS)
+        written.zip(confirmed).is_some_and(|(written, confirmed)| {
+            confirmed > written.max(*since) + END_READ_TIMEOUT_MS
+        })
     }
 
-    fn take_ended(&mut self, ended: TaskEnded) {
-        match ended {
-            TaskEnded::Claim { batch, outcome } => self.claim_ended(batch, outcome),
-            TaskEnded::Append {
+    fn handle_task_end(&mut self, task_ends: TaskEnd) {
+        match task_ends {
+            TaskEnd::Claim { batch, outcome } => self.handle_claim_end(batch, outcome),
+            TaskEnd::Append {
                 partition,
                 is_done,
                 took_ms,
             } => {
                 let now = self.context.now();
-                self.outbox(partition).finished(is_done, now);
+                self.outbox(partition).finish_append(is_done, now);
                 let outcome = if is_done { "done" } else { "failed" };
                 metrics::results_written(outcome, took_ms);
             }
@@ -219,15 +219,15 @@
     }
 
     /// Drops items that the log shows as done, ended, or taken over by another node.
-    fn follow_log(&mut self) {
+    fn drop_settled_items(&mut self) {
         let items = self.items.iter();
         let gone: Vec<(ItemKey, &'static str)> = items
             .filter_map(|(key, item)| Some((key.clone(), self.reason_to_drop(key, item)?)))
             .collect();
-        self.tell_ends_seen(&gone);
+        self.log_ended_batches(&gone);
         for (key, reason) in gone {
             let item = self.items.remove(&key);
-            if reason != LISTED {
+            if reason != RESULT_LISTED {
                 info!(event = "item_dropped", request = key.item.as_str(),
                     batch = key.batch.as_str(), reason = reason,
                     events = item.map_or(0, |item| item.events); "");
@@ -236,11 +236,11 @@
     }
 
     /// Why an item is not worked on any more; `None` if it is.
-    fn reason_to_drop(&self, key: &ItemKey, item: &LiveItem) -> Option<&'static str> {
+    fn reason_to_drop(&self, key: &ItemKey, item: &ActiveItem) -> Option<&'static str> {
         let inner = self.context.partitions.at(item.partition).lock();
         let confirmed = inner.confirmed_at();
         let Some(batch) = inner.state.batch(&key.batch) else {
-            return Some(NOT_KNOWN);
+            return Some(ITEM_UNKNOWN);
         };
         if batch.ended {
             return Some(BATCH_ENDED);
@@ -249,9 +249,9 @@
             return Some("lease_lost");
         }
         match batch.item(&key.item) {
-            None => Some(NOT_KNOWN),
-            Some(state) if state.result.is_some() => Some(LISTED),
-            Some(_) if self.was_not_taken(item, confirmed) => Some("end_not_taken"),
+            None => Some(ITEM_UNKNOWN),
+            Some(state) if state.result.is_some() => Some(RESULT_LISTED),
+            Some(_) if self.is_end_overdue(item, confirmed) => Some("end_not_taken"),
             Some(state) if item.is_overtaken(state) => Some("overtaken"),
             Some(_) => None,
         }
@@ -259,6 +259,6 @@
 }
 
 /// Events there of an item that this node may not work on yet.
-fn events_of(live: Option<&LiveItem>, state: &ItemState) -> u32 {
-    live.map_or(state.events.len() as u32, |item| item.events)
+fn event_count(active_item: Option<&ActiveItem>, state: &ItemState) -> u32 {
+    active_item.map_or(state.events.len() as u32, |item| item.events)
 }
--- a/crates/gateway/src/engine/outbox.rs
+++ b/crates/gateway/src/engine/outbox.rs
@@ -29,14 +29,14 @@
 pub struct Outbox {
     limits: AppendLimits,
     waiting: VecDeque<Vec<Bytes>>,
-    under_way: Option<Vec<Bytes>>,
+    in_flight: Option<Vec<Bytes>>,
     not_before: Millis,
     /// When the last append began.
     pub last_append: Millis,
     /// Whether a waiting record should not wait for more.
     pub is_urgent: bool,
     /// When an append was last answered as done.
-    written: Millis,
+    written_at: Millis,
 }
 
 impl Outbox {
@@ -45,11 +45,11 @@
         Self {
             limits,
             waiting: VecDeque::new(),
-            under_way: None,
+            in_flight: None,
             not_before: 0,
             last_append: 0,
             is_urgent: false,
-            written: 0,
+            written_at: 0,
         }
     }
 
@@ -65,21 +65,21 @@
 
     /// Whether nothing waits and nothing is under way.
     pub fn is_empty(&self) -> bool {
-        self.waiting.is_empty() && self.under_way.is_none()
+        self.waiting.is_empty() && self.in_flight.is_none()
     }
 
     /// When all that was pushed so far was written; `None` while some of it is not.
     pub fn all_written_at(&self) -> Option<Millis> {
-        self.is_empty().then_some(self.written)
+        self.is_empty().then_some(self.written_at)
     }
 
     /// Whether records wait and none is under way.
-    pub fn may_begin(&self, now: Millis) -> bool {
-        !self.waiting.is_empty() && self.under_way.is_none() && now >= self.not_before
+    pub fn can_begin_append(&self, now: Millis) -> bool {
+        !self.waiting.is_empty() && self.in_flight.is_none() && now >= self.not_before
     }
 
     /// Takes as many records as fit in a call; they are under way until `finished`.
-    pub fn begin(&mut self, now: Millis) -> Vec<Bytes> {
+    pub fn begin_append(&mut self, now: Millis) -> Vec<Bytes> {
         let mut call: Vec<Bytes> = Vec::new();
         let mut bytes = 0;
         while let Some(next) = self.waiting.front() {
@@ -90,19 +90,19 @@
             bytes += size;
             call.extend(self.waiting.pop_front().unwrap_or_default());
         }
-        self.under_way = Some(call.clone());
+        self.in_flight = Some(call.clone());
         self.last_append = now;
         self.is_urgent = false;
         call
     }
 
     /// The append ended; after a failure the same records are the next to be appended.
-    pub fn finished(&mut self, is_done: bool, now: Millis) {
-        let Some(call) = self.under_way.take() else {
+    pub fn finish_append(&mut self, is_done: bool, now: Millis) {
+        let Some(call) = self.in_flight.take() else {
             return;
         };
         if is_done {
-            self.written = now;
+            self.written_at = now;
         } else {
             self.waiting.push_front(call);
             self.not_before = now + REPEAT_PAUSE_MS;
--- a/crates/gateway/src/engine/held_back.rs
+++ b/crates/gateway/src/engine/paused_starts.rs
@@ -11,7 +11,7 @@
 
 /// Since when starts are held back in a partition.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct HeldBack {
+pub(super) struct PausedStarts {
     since: Millis,
     is_told: bool,
 }
@@ -19,13 +19,13 @@
 impl Engine {
     /// Whether nothing of a partition may be started. Tells once when this lasts, and once when it is
     /// over.
-    pub(super) fn is_held_back(&mut self, partition: usize, now: Millis) -> bool {
+    pub(super) fn are_starts_paused(&mut self, partition: usize, now: Millis) -> bool {
         let view = self.context.partitions.at(partition);
         if self.context.may_start_work(view) {
-            self.go_on(partition, now);
+            self.resume_starts(partition, now);
             return false;
         }
-        let held = self.held_back.entry(partition).or_insert(HeldBack {
+        let held = self.paused_starts.entry(partition).or_insert(PausedStarts {
             since: now,
             is_told: false,
         });
@@ -46,8 +46,8 @@
         true
     }
 
-    fn go_on(&mut self, partition: usize, now: Millis) {
-        let Some(held) = self.held_back.remove(&partition) else {
+    fn resume_starts(&mut self, partition: usize, now: Millis) {
+        let Some(held) = self.paused_starts.remove(&partition) else {
             return;
         };
         if held.is_told {
--- a/crates/gateway/src/engine/plan.rs
+++ b/crates/gateway/src/engine/plan.rs
@@ -11,10 +11,10 @@
 use log::info;
 use xxhash_rust::xxh3::xxh3_64;
 
+use super::active_item::{ActiveItem, Phase};
 use super::candidates::oldest_versions;
-use super::live::{LiveItem, Phase};
 use super::run::ItemKey;
-use super::{DEFAULT_GIVE_UP_MS, Engine, events_of};
+use super::{DEFAULT_GIVE_UP_AFTER_MS, Engine, event_count};
 use crate::metrics;
 
 /// Work of this node in one pool.
@@ -35,36 +35,36 @@
         };
         let now = self.context.now();
         let mut work: BTreeMap<PoolName, PoolWork> = BTreeMap::new();
-        let mut too_late = Vec::new();
+        let mut expired = Vec::new();
         let needed = self.context.partitions.needed();
-        self.held_back
+        self.paused_starts
             .retain(|partition, _| needed.contains(partition));
         for partition in needed {
             // An end that is not read yet must not be in force when an item arrives.
-            if self.is_held_back(partition, now) {
+            if self.are_starts_paused(partition, now) {
                 continue;
             }
-            self.note_carried(partition);
+            self.find_carried_over(partition);
             let inner = self.context.partitions.at(partition).lock();
             for batch in inner.state.batches().filter(|batch| self.is_own(batch)) {
                 let Some(route) = table.batch_route(&batch.host, &batch.path) else {
                     continue;
                 };
-                if is_too_late(route, batch, now) {
-                    too_late.extend(self.open_items(batch));
+                if is_past_deadline(route, batch, now) {
+                    expired.extend(self.open_items(batch));
                     continue;
                 }
                 self.collect_items(batch, route, &table, now, &mut work);
             }
         }
-        for key in too_late {
-            if self.prepare(&key, now).is_some() {
+        for key in expired {
+            if self.prepare_item(&key, now).is_some() {
                 self.give_up(&key, GiveUpReason::TooLate);
             }
         }
-        self.lengths.clear_backends();
+        self.item_lengths.clear_backends();
         for (pool, work) in work {
-            self.place(&table, &pool, work, now);
+            self.place_items(&table, &pool, work, now);
         }
     }
 
@@ -95,20 +95,21 @@
         work: &mut BTreeMap<PoolName, PoolWork>,
     ) {
         let none = HashSet::new();
-        let carried = self
-            .carried
+        let carried_over = self
+            .carried_over
             .get(&batch.id)
-            .map_or(&none, |carried| &carried.items);
+            .map_or(&none, |carried_over| &carried_over.items);
         let Some(first) = route.pools.first() else {
             return;
         };
         let tokens_per_event = tokens_per_event(table, &first.pool);
-        let optional = schedule::optional_items(batch, carried, |item| {
+        let optional = schedule::optional_items(batch, carried_over, |item| {
             let made_tokens = (item.events.len() as u32).saturating_mul(tokens_per_event);
-            self.lengths.remaining(&first.pool, item, made_tokens)
+            self.item_lengths
+                .expected_remaining(&first.pool, item, made_tokens)
         });
         let residency = table.residency(route, batch.tenant.as_ref());
-        let claim = claim_of(batch, route, table);
+        let claim = scheduling_claim(batch, route, table);
         for item in batch.items.iter().filter(|item| item.result.is_none()) {
             let hash = xxh3_64(item.id.as_str().as_bytes());
             let Some(pool) = route.pool_for(hash) else {
@@ -119,8 +120,8 @@
                 batch: batch.id.clone(),
                 item: item.id.clone(),
             };
-            let live = self.items.get(&key);
-            let made_tokens = events_of(live, item).saturating_mul(tokens_per_event);
+            let active_item = self.items.get(&key);
+            let made_tokens = event_count(active_item, item).saturating_mul(tokens_per_event);
             let spec = item.spec.as_ref();
             let prompt_tokens = spec.map_or(0, |spec| self.context.dialect.prompt_tokens(spec));
             let item = WaitingItem {
@@ -128,42 +129,50 @@
                 item: item.id.clone(),
                 is_optional: optional.contains(&item.id),
                 claim: claim.clone(),
-                expected_tokens: self.lengths.remaining(pool, item, made_tokens),
+                expected_tokens: self
+                    .item_lengths
+                    .expected_remaining(pool, item, made_tokens),
                 held_tokens: prompt_tokens.saturating_add(made_tokens),
                 batch_first_seen: batch.first_seen,
                 model: batch.model.clone(),
                 minimum_version: batch.minimum_version,
-                exact_version: made_by(live, item).filter(|_| route.single_version),
+                exact_version: first_version(active_item, item).filter(|_| route.single_version),
                 group: item.group.clone(),
                 residency: residency.clone(),
             };
-            let Some(live) = live else {
+            let Some(active_item) = active_item else {
                 work.waiting.push(item);
                 continue;
             };
-            match &live.phase {
+            match &active_item.phase {
                 Phase::Waiting => work.waiting.push(item),
                 Phase::Running { backend, since, .. } => work.running.push(RunningItem {
                     expected_events: item.expected_tokens.div_ceil(tokens_per_event),
                     item,
                     backend: backend.clone(),
                     running_ms: now.saturating_sub(*since),
-                    moves: live.moves,
+                    moves: active_item.moves,
                 }),
                 Phase::Scoring { .. } | Phase::Finishing { .. } => {}
             }
         }
     }
 
-    fn place(&mut self, table: &RouteTable, pool: &PoolName, mut work: PoolWork, now: Millis) {
+    fn place_items(
+        &mut self,
+        table: &RouteTable,
+        pool: &PoolName,
+        mut work: PoolWork,
+        now: Millis,
+    ) {
         if work.waiting.is_empty() && work.running.is_empty() {
             return;
         }
-        let usual_gap_ms = self.usual_gap_ms(pool, now);
+        let median_gap_ms = self.median_gap_ms(pool, now);
         let oldest = oldest_versions(&work);
-        self.lengths.count_running(&work.running);
-        let mut candidates = self.candidates(table.pool(pool), pool, &oldest, usual_gap_ms, now);
-        let token_ms = usual_gap_ms / f64::from(tokens_per_event(table, pool));
+        self.item_lengths.add_running(&work.running);
+        let mut candidates = self.candidates(table.pool(pool), pool, &oldest, median_gap_ms, now);
+        let token_ms = median_gap_ms / f64::from(tokens_per_event(table, pool));
         let free_slots = candidates.iter().map(Candidate::free_slots).sum();
         let running = &work.running;
         schedule::prioritize_waiting(&mut work.waiting, running, free_slots, now, token_ms);
@@ -181,12 +190,12 @@
                 continue;
             };
             let backend = chosen.backend.clone();
-            tell_if_memory_is_short(item, chosen);
+            log_if_memory_is_short(item, chosen);
             for candidate in candidates.iter_mut().filter(|c| c.backend == backend) {
                 candidate.add_item(item);
             }
-            self.lengths.count(&backend, item.tokens());
-            self.begin(item, &backend, now);
+            self.item_lengths.add_item(&backend, item.tokens());
+            self.start_item(item, &backend, now);
         }
         let are_all_taken = candidates.iter().all(|c| c.running >= c.slots);
         if are_all_taken && !candidates.is_empty() {
@@ -204,11 +213,11 @@
         };
         let backends = self.context.backends.lock();
         let mut ready = backends.list.ready_in(pool);
-        let is_there = ready.any(|(id, _)| backends.version(id, model) == exact);
+        let is_available = ready.any(|(id, _)| backends.version(id, model) == exact);
         drop(ready);
         drop(backends);
         let key = key_of(item);
-        if !is_there && self.prepare(&key, now).is_some() {
+        if !is_available && self.prepare_item(&key, now).is_some() {
             self.restart(&key);
         }
     }
@@ -217,29 +226,29 @@
     fn relocate(&mut self, relocation: &Relocation) {
         let item = &relocation.item;
         let key = key_of(item);
-        let Some(live) = self.items.get_mut(&key) else {
+        let Some(active_item) = self.items.get_mut(&key) else {
             return;
         };
         info!(event = "item_relocated", request = key.item.as_str(), batch = key.batch.as_str(),
-            from = live.running_on().map_or("", BackendId::as_str), to = relocation.to.as_str(),
-            events = live.events; "");
+            from = active_item.running_on().map_or("", BackendId::as_str), to = relocation.to.as_str(),
+            events = active_item.events; "");
         // Ends the run and resets its connection.
-        live.phase = Phase::Waiting;
-        live.moves += 1;
-        let partition = live.partition;
-        if let Some(progress) = live.take_progress(&key) {
-            self.push(partition, &progress);
+        active_item.phase = Phase::Waiting;
+        active_item.moves += 1;
+        let partition = active_item.partition;
+        if let Some(progress) = active_item.take_progress(&key) {
+            self.queue_record(partition, &progress);
         }
         self.start(&key, &relocation.to, urgency(item));
     }
 
-    fn begin(&mut self, item: &WaitingItem, backend: &BackendId, now: Millis) {
+    fn start_item(&mut self, item: &WaitingItem, backend: &BackendId, now: Millis) {
         let key = key_of(item);
         let is_first_start = !self.items.contains_key(&key);
-        if self.prepare(&key, now).is_none() {
+        if self.prepare_item(&key, now).is_none() {
             return;
         }
-        if is_first_start && self.take_from_earlier_batch(&key, item) {
+        if is_first_start && self.reuse_earlier_output(&key, item) {
             return;
         }
         self.start(&key, backend, urgency(item));
@@ -247,7 +256,7 @@
 }
 
 /// Tells of an item that is placed where the memory is expected to run out, for want of another place.
-fn tell_if_memory_is_short(item: &WaitingItem, chosen: &Candidate) {
+fn log_if_memory_is_short(item: &WaitingItem, chosen: &Candidate) {
     let tokens = item.tokens();
     if chosen.memory.fits(tokens) {
         return;
@@ -270,18 +279,18 @@
 }
 
 /// On whose behalf a batch's items run.
-fn claim_of(batch: &BatchState, route: &Route, table: &RouteTable) -> Claim {
+fn scheduling_claim(batch: &BatchState, route: &Route, table: &RouteTable) -> Claim {
     let tenant = batch.tenant.as_ref();
     let claimant = tenant.map_or(route.name.as_str(), |tenant| tenant.as_str());
     Claim {
         rank: table.priority(route, tenant),
         claimant: claimant.into(),
-        max_wait_ms: route.give_up_after_ms.unwrap_or(DEFAULT_GIVE_UP_MS),
+        max_wait_ms: route.give_up_after_ms.unwrap_or(DEFAULT_GIVE_UP_AFTER_MS),
     }
 }
 
-fn is_too_late(route: &Route, batch: &BatchState, now: Millis) -> bool {
-    let limit = route.give_up_after_ms.unwrap_or(DEFAULT_GIVE_UP_MS);
+fn is_past_deadline(route: &Route, batch: &BatchState, now: Millis) -> bool {
+    let limit = route.give_up_after_ms.unwrap_or(DEFAULT_GIVE_UP_AFTER_MS);
     now.saturating_sub(batch.first_seen) > limit
 }
 
@@ -292,9 +301,9 @@
 }
 
 /// Version that made the first event there.
-fn made_by(live: Option<&LiveItem>, state: &ItemState) -> Option<Version> {
-    match live {
-        Some(live) => live.made_by,
+fn first_version(active_item: Option<&ActiveItem>, state: &ItemState) -> Option<Version> {
+    match active_item {
+        Some(active_item) => active_item.first_version,
         None => state.events.first().map(|event| event.version),
     }
 }
--- a/crates/gateway/src/engine/reward.rs
+++ b/crates/gateway/src/engine/reward.rs
@@ -13,18 +13,18 @@
 use tokio::sync::mpsc::UnboundedSender;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::run::{ItemKey, RunMessage, RunNews};
+use super::run::{ItemKey, RunMessage, RunUpdate};
 use crate::calls::{self, Call, CallOutcome};
 use crate::context::Context;
 
 /// Time a reward call has.
 const REWARD_DEADLINE: Duration = Duration::from_millis(2_000);
 /// Pause after a reward call that every application turned away: about as long as one works on a call.
-const TURNED_AWAY_PAUSE: Duration = Duration::from_millis(50);
+const REJECTED_PAUSE: Duration = Duration::from_millis(50);
 /// Share of its route's objective within which a reward call is answered that has not waited in a queue.
-const SOON_SHARE: f64 = 0.5;
+const UNQUEUED_SHARE: f64 = 0.5;
 /// Pause before a reward call is made again.
-const REWARD_PAUSE: Duration = Duration::from_millis(20);
+const REWARD_RETRY_PAUSE: Duration = Duration::from_millis(20);
 /// Pause before a reward call that is barred is looked at again: the bar may be lifted.
 const REWARD_BARRED_PAUSE: Duration = Duration::from_millis(500);
 
@@ -43,64 +43,68 @@
     key: ItemKey,
     run: RunId,
     reward: RewardCall,
-    news: UnboundedSender<RunMessage>,
+    messages: UnboundedSender<RunMessage>,
 ) {
-    let end = score_to_end(&context, &key.batch, &reward).await;
-    let _ = news.send(RunMessage {
+    let end = score_with_retries(&context, &key.batch, &reward).await;
+    let _ = messages.send(RunMessage {
         key,
         run,
-        news: RunNews::Scored(end),
+        update: RunUpdate::Scored(end),
     });
 }
 
 /// What one try of a reward call came to.
-enum Try {
+enum AttemptOutcome {
     /// It was answered with this signature.
     Scored(String),
     /// It was not made: its route changed while it waited for its turn.
-    Moved,
+    RoutesChanged,
     /// It may be made again after a pause.
-    Again { pause: Duration },
+    Retry { pause: Duration },
     /// Back ends failed at it as often as its route allows.
     AttemptsUsed,
 }
 
-async fn score_to_end(context: &Arc<Context>, batch: &BatchId, reward: &RewardCall) -> ScoreEnd {
+async fn score_with_retries(
+    context: &Arc<Context>,
+    batch: &BatchId,
+    reward: &RewardCall,
+) -> ScoreEnd {
     let mut failures = 0;
     loop {
         // A batch's end holds for reward calls as it does for items.
         context.until_work_may_start(batch).await;
-        match try_once(context, batch, reward, &mut failures).await {
-            Try::Scored(score) => return ScoreEnd::Score(score),
-            Try::AttemptsUsed => return ScoreEnd::AttemptsUsed,
-            Try::Moved => {}
-            Try::Again { pause } => tokio::time::sleep(pause).await,
+        match attempt_call(context, batch, reward, &mut failures).await {
+            AttemptOutcome::Scored(score) => return ScoreEnd::Score(score),
+            AttemptOutcome::AttemptsUsed => return ScoreEnd::AttemptsUsed,
+            AttemptOutcome::RoutesChanged => {}
+            AttemptOutcome::Retry { pause } => tokio::time::sleep(pause).await,
         }
     }
 }
 
 /// Makes the call once, in its turn.
-async fn try_once(
+async fn attempt_call(
     context: &Arc<Context>,
     batch: &BatchId,
     reward: &RewardCall,
     failures: &mut u32,
-) -> Try {
+) -> AttemptOutcome {
     let routes = context.routes();
     let route = routes
         .as_ref()
         .and_then(|table| table.find(&reward.host, &reward.path));
     let pool = route.and_then(|route| route.pool_for(xxh3_64(reward.id.as_bytes())));
     let (Some(route), Some(pool)) = (route, pool) else {
-        return Try::Again {
-            pause: REWARD_PAUSE,
+        return AttemptOutcome::Retry {
+            pause: REWARD_RETRY_PAUSE,
         };
     };
     let share = context.share_of_places(pool);
     let turn = context.reward_pace.turn(pool, share).await;
     let began = Instant::now();
-    if !is_in_force(context, routes.as_deref()) {
-        return Try::Moved;
+    if !are_routes_current(context, routes.as_deref()) {
+        return AttemptOutcome::RoutesChanged;
     }
     let Some(call) = reward_call(context, batch, reward) else {
         drop(turn);
@@ -109,25 +113,25 @@
     };
     let executed = calls::execute(context, route, call).await;
     *failures += executed.server_errors;
-    let end = end_for_pace(route, &executed.outcome, began.elapsed());
+    let end = pace_outcome(route, &executed.outcome, began.elapsed());
     if end == CallEnd::Rejected {
         // Its turn is over only then: else the next call would find the same full pool a millisecond later.
-        tokio::time::sleep(TURNED_AWAY_PAUSE).await;
+        tokio::time::sleep(REJECTED_PAUSE).await;
     }
     turn.ended(end);
-    if let Some(score) = score_in(context, &executed.outcome) {
-        return Try::Scored(score);
+    if let Some(score) = signature_of(context, &executed.outcome) {
+        return AttemptOutcome::Scored(score);
     }
     if *failures >= route.attempts.max(1) {
-        return Try::AttemptsUsed;
+        return AttemptOutcome::AttemptsUsed;
     }
-    Try::Again {
+    AttemptOutcome::Retry {
         pause: pause_after(&executed.outcome),
     }
 }
 
 /// The signature of an answer that tells success.
-fn score_in(context: &Context, outcome: &CallOutcome) -> Option<String> {
+fn signature_of(context: &Context, outcome: &CallOutcome) -> Option<String> {
     let CallOutcome::Answered(answer) = outcome else {
         return None;
     };
@@ -141,22 +145,22 @@
         CallOutcome::Refused { .. } => Duration::ZERO,
         CallOutcome::Barred => REWARD_BARRED_PAUSE,
         CallOutcome::Answered(_) | CallOutcome::Streaming(_) | CallOutcome::Failed { .. } => {
-            REWARD_PAUSE
+            REWARD_RETRY_PAUSE
         }
     }
 }
 
 /// Whether these are still the routes in force.
-fn is_in_force(context: &Context, routes: Option<&RouteTable>) -> bool {
+fn are_routes_current(context: &Context, routes: Option<&RouteTable>) -> bool {
     let version = |table: &RouteTable| table.version();
     context.routes().as_deref().map(version) == routes.map(version)
 }
 
 /// What the end of a reward call says of the places of its pool.
-fn end_for_pace(route: &Route, outcome: &CallOutcome, took: Duration) -> CallEnd {
-    let soon = calls::share_of_objective(route, SOON_SHARE);
+fn pace_outcome(route: &Route, outcome: &CallOutcome, took: Duration) -> CallEnd {
+    let unqueued_limit = calls::share_of_objective(route, UNQUEUED_SHARE);
     match outcome {
-        CallOutcome::Answered(_) if took > soon => CallEnd::AcceptedLate,
+        CallOutcome::Answered(_) if took > unqueued_limit => CallEnd::AcceptedLate,
         CallOutcome::Answered(_) | CallOutcome::Streaming(_) => CallEnd::Accepted,
         CallOutcome::Refused { .. } => CallEnd::Rejected,
         CallOutcome::Failed { .. } | CallOutcome::Barred => CallEnd::Unknown,
--- a/crates/gateway/src/engine/run.rs
+++ b/crates/gateway/src/engine/run.rs
@@ -32,7 +32,7 @@
 const EVENT_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// Events after which a run that breaks off is not held against its item: the back end ran it well for so
 /// long, and the next run goes on behind them.
-const EVENTS_OF_A_SOUND_RUN: u32 = 3;
+const MIN_EVENTS_OF_HEALTHY_RUN: u32 = 3;
 
 /// An item of a batch.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -51,12 +51,12 @@
     /// The run.
     pub run: RunId,
     /// What happened.
-    pub news: RunNews,
+    pub update: RunUpdate,
 }
 
 /// What happened in a run.
 #[derive(Debug)]
-pub enum RunNews {
+pub enum RunUpdate {
     /// The head of the answer came, so the back end is there.
     Answered,
     /// One more event.
@@ -115,19 +115,19 @@
     /// Whether all events must come from one version.
     pub is_single: bool,
     /// The version of the events already there.
-    pub made_by: Option<Version>,
+    pub first_version: Option<Version>,
 }
 
 impl VersionRule {
     /// Whether a version may make the next event; `before` made the last one of this run.
-    fn allows(&self, version: Version, before: Option<Version>) -> bool {
-        let bound = before.or(self.made_by).filter(|_| self.is_single);
+    fn allows(&self, version: Version, previous: Option<Version>) -> bool {
+        let bound = previous.or(self.first_version).filter(|_| self.is_single);
         version >= self.minimum && bound.is_none_or(|bound| bound == version)
     }
 }
 
 /// A run to be made.
-pub struct RunOrder {
+pub struct RunParameters {
     /// The item.
     pub key: ItemKey,
     /// The run.
@@ -149,50 +149,50 @@
     /// How urgent the back end is to take it.
     pub urgency: u8,
     /// Told when the run counts as stalled.
-    pub stalled: Arc<Notify>,
+    pub stall_signal: Arc<Notify>,
 }
 
 /// Makes a run and tells the engine of each event and of the end.
-pub async fn make_run(
+pub async fn run_item(
     context: Arc<Context>,
     backend: ChosenBackend,
-    order: RunOrder,
-    news: UnboundedSender<RunMessage>,
+    parameters: RunParameters,
+    messages: UnboundedSender<RunMessage>,
 ) {
     let mut events = 0;
     let end = tokio::select! {
-        end = run_to_end(&context, &backend, &order, &news, &mut events) => end,
+        end = send_and_read(&context, &backend, &parameters, &messages, &mut events) => end,
         // Drops the exchange, which resets its connection.
-        () = order.stalled.notified() => RunEnd::Stalled,
+        () = parameters.stall_signal.notified() => RunEnd::Stalled,
     };
-    note_crashes(&context, &backend, &order, &end, events).await;
+    record_crash_evidence(&context, &backend, &parameters, &end, events).await;
     drop(backend);
     // The engine is gone only when the process ends.
-    let _ = news.send(RunMessage {
-        key: order.key,
-        run: order.run,
-        news: RunNews::Ended(end),
+    let _ = messages.send(RunMessage {
+        key: parameters.key,
+        run: parameters.run,
+        update: RunUpdate::Ended(end),
     });
 }
 
 /// Notes what the end of a run says of whether its item ends back ends.
-async fn note_crashes(
+async fn record_crash_evidence(
     context: &Arc<Context>,
     backend: &ChosenBackend,
-    order: &RunOrder,
+    parameters: &RunParameters,
     end: &RunEnd,
     events: u32,
 ) {
-    let request = || fingerprint::of_item(&order.host, &order.spec);
+    let request = || fingerprint::of_item(&parameters.host, &parameters.spec);
     match end {
         RunEnd::Whole | RunEnd::Failed | RunEnd::Impossible => {
             let is_success = *end == RunEnd::Whole;
             crash_guard::answered(context, &backend.id, is_success, request);
         }
-        RunEnd::Broken | RunEnd::Stalled if events < EVENTS_OF_A_SOUND_RUN => {
+        RunEnd::Broken | RunEnd::Stalled if events < MIN_EVENTS_OF_HEALTHY_RUN => {
             let broken = UnansweredSend {
                 request: request(),
-                id: order.key.item.to_string(),
+                id: parameters.key.item.to_string(),
                 backend: backend.id.clone(),
                 link: backend.link.clone(),
                 slot: None,
@@ -209,18 +209,18 @@
 }
 
 /// Makes a run; `events` counts what it brings.
-async fn run_to_end(
+async fn send_and_read(
     context: &Context,
     backend: &ChosenBackend,
-    order: &RunOrder,
-    news: &UnboundedSender<RunMessage>,
+    parameters: &RunParameters,
+    messages: &UnboundedSender<RunMessage>,
     events: &mut u32,
 ) -> RunEnd {
-    let Some(request) = item_request(context, &backend.id, order) else {
+    let Some(request) = item_request(context, &backend.id, parameters) else {
         return RunEnd::Impossible;
     };
     let sending = Sending::within(HEAD_TIMEOUT)
-        .written_by(order.write_by)
+        .written_by(parameters.write_by)
         .patient_for(send::HEAD_PATIENCE)
         .ended_when_silent();
     let answer = match backend.link.send_as(request.clone(), sending).await {
@@ -238,51 +238,56 @@
         Err(error) if error.is_unsent() => return RunEnd::Unreachable,
         Err(_) => return RunEnd::Broken,
     };
-    match check_head(context, order, &answer) {
+    match check_head(context, parameters, &answer) {
         Ok(version) => {
-            tell_answered(order, news);
-            read_events(context, backend, order, answer, version, news, events).await
+            send_answered(parameters, messages);
+            read_events(
+                context, backend, parameters, answer, version, messages, events,
+            )
+            .await
         }
         Err(end) => {
             // Read to the end, so that the connection is kept.
-            let rest = answer.whole(MOST_REFUSAL_BYTES);
+            let rest = answer.whole(MAX_REJECTION_BYTES);
             let _ = tokio::time::timeout(HEAD_TIMEOUT, rest).await;
             end
         }
     }
 }
 
-fn tell_answered(order: &RunOrder, news: &UnboundedSender<RunMessage>) {
+fn send_answered(parameters: &RunParameters, messages: &UnboundedSender<RunMessage>) {
     // The engine is gone only when the process ends.
-    let _ = news.send(RunMessage {
-        key: order.key.clone(),
-        run: order.run,
-        news: RunNews::Answered,
+    let _ = messages.send(RunMessage {
+        key: parameters.key.clone(),
+        run: parameters.run,
+        update: RunUpdate::Answered,
     });
 }
 
 /// Longest body of a refusal that is read.
-const MOST_REFUSAL_BYTES: usize = 64 * 1024;
+const MAX_REJECTION_BYTES: usize = 64 * 1024;
 
 fn item_request(
     context: &Context,
     backend: &BackendId,
-    order: &RunOrder,
+    parameters: &RunParameters,
 ) -> Option<Request<Full<Bytes>>> {
     let names = context.dialect.headers();
-    let left = order.deadline.saturating_duration_since(Instant::now());
-    let mut request = Request::new(Full::new(order.spec.body.clone()));
+    let left = parameters
+        .deadline
+        .saturating_duration_since(Instant::now());
+    let mut request = Request::new(Full::new(parameters.spec.body.clone()));
     *request.method_mut() = Method::POST;
-    *request.uri_mut() = order.spec.path.parse::<Uri>().ok()?;
+    *request.uri_mut() = parameters.spec.path.parse::<Uri>().ok()?;
     let headers = request.headers_mut();
-    for header in &order.spec.headers {
+    for header in &parameters.spec.headers {
         let name = HeaderName::try_from(header.name.as_str()).ok()?;
         headers.insert(name, HeaderValue::from_str(&header.value).ok()?);
     }
     send::remove_connection_headers(headers);
-    access::name_tenant(names, headers, order.tenant.as_ref());
-    headers.insert(HOST, HeaderValue::from_str(&order.host).ok()?);
-    let id = HeaderValue::from_str(order.key.item.as_str()).ok()?;
+    access::name_tenant(names, headers, parameters.tenant.as_ref());
+    headers.insert(HOST, HeaderValue::from_str(&parameters.host).ok()?);
+    let id = HeaderValue::from_str(parameters.key.item.as_str()).ok()?;
     headers.insert(names.request_id.clone(), id);
     let deadline_ms = left.as_millis().max(1) as u64;
     headers.insert(names.deadline_ms.clone(), HeaderValue::from(deadline_ms));
@@ -290,12 +295,12 @@
     headers.insert(names.expected_backend.clone(), expected);
     headers.insert(
         names.urgency.clone(),
-        HeaderValue::from(u64::from(order.urgency)),
+        HeaderValue::from(u64::from(parameters.urgency)),
     );
-    if order.resumed_from > 0 {
+    if parameters.resumed_from > 0 {
         headers.insert(
             names.last_event_id.clone(),
-            HeaderValue::from(order.resumed_from),
+            HeaderValue::from(parameters.resumed_from),
         );
     }
     Some(request)
@@ -305,7 +310,7 @@
 /// nothing to add to what is there names no version.
 fn check_head(
     context: &Context,
-    order: &RunOrder,
+    parameters: &RunParameters,
     answer: &Answer,
 ) -> Result<Option<Version>, RunEnd> {
     let names = context.dialect.headers();
@@ -316,7 +321,7 @@
         return Err(RunEnd::NotRun);
     }
     let id = answer.headers().get(&names.request_id);
-    if id.is_none_or(|id| id.as_bytes() != order.key.item.as_str().as_bytes()) {
+    if id.is_none_or(|id| id.as_bytes() != parameters.key.item.as_str().as_bytes()) {
         return Err(RunEnd::Broken);
     }
     match answer.status() {
@@ -326,7 +331,7 @@
         _ => return Err(RunEnd::Broken),
     }
     match read_version(answer.headers(), &names.weight_version) {
-        Some(version) if !order.versions.allows(version, None) => {
+        Some(version) if !parameters.versions.allows(version, None) => {
             Err(RunEnd::WrongVersion(version))
         }
         version => Ok(version),
@@ -340,14 +345,14 @@
 async fn read_events(
     context: &Context,
     backend: &ChosenBackend,
-    order: &RunOrder,
+    parameters: &RunParameters,
     mut answer: Answer,
     mut version: Option<Version>,
-    news: &UnboundedSender<RunMessage>,
+    messages: &UnboundedSender<RunMessage>,
     events: &mut u32,
 ) -> RunEnd {
     let mut reader = EventReader::new(context.dialect.headers().weight_version.as_str());
-    let mut count = u64::from(order.resumed_from);
+    let mut count = u64::from(parameters.resumed_from);
     let mut last_event = Instant::now();
     let mut gaps = StreamGaps::default();
     let is_framed = answer.is_framed();
@@ -366,10 +371,10 @@
             if event.id.is_some_and(|id| id != count) {
                 return RunEnd::Broken;
             }
-            let before = version;
+            let previous = version;
             version = event.version.or(version);
-            let made_by = version.unwrap_or(0);
-            if !order.versions.allows(made_by, before) {
+            let event_version = version.unwrap_or(0);
+            if !parameters.versions.allows(event_version, previous) {
                 // Without a word of the version it is not known to be allowed.
                 return version.map_or(RunEnd::Broken, RunEnd::WrongVersion);
             }
@@ -381,15 +386,15 @@
                 backends.saw_event_gap(&backend.id, gap, now);
             }
             let event = OutputEvent {
-                version: made_by,
+                version: event_version,
                 data: event.data,
             };
             let message = RunMessage {
-                key: order.key.clone(),
-                run: order.run,
-                news: RunNews::Event(event),
+                key: parameters.key.clone(),
+                run: parameters.run,
+                update: RunUpdate::Event(event),
             };
-            if news.send(message).is_err() {
+            if messages.send(message).is_err() {
                 return RunEnd::Broken;
             }
         }
--- a/crates/gateway/src/engine/runs.rs
+++ b/crates/gateway/src/engine/run_messages.rs
@@ -7,29 +7,29 @@
 use log::{info, warn};
 
 use super::Engine;
-use super::live::{OwnedTask, Phase};
+use super::active_item::{AbortOnDrop, Phase};
 use super::reward::{self, ScoreEnd};
-use super::run::{ItemKey, RunEnd, RunMessage, RunNews};
+use super::run::{ItemKey, RunEnd, RunMessage, RunUpdate};
 use crate::metrics;
 
 impl Engine {
-    pub(super) fn take_news(&mut self, message: RunMessage) {
+    pub(super) fn handle_run_message(&mut self, message: RunMessage) {
         let Some(item) = self.items.get(&message.key) else {
             return;
         };
         if item.run != message.run {
             return;
         }
-        match message.news {
-            RunNews::Answered => self.take_answer(&message.key),
-            RunNews::Event(event) => self.take_event(&message.key, event),
-            RunNews::Ended(end) => self.run_ended(&message.key, &end),
-            RunNews::Scored(end) => self.scored(&message.key, end),
+        match message.update {
+            RunUpdate::Answered => self.record_answer_head(&message.key),
+            RunUpdate::Event(event) => self.record_output_event(&message.key, event),
+            RunUpdate::Ended(end) => self.handle_run_end(&message.key, &end),
+            RunUpdate::Scored(end) => self.handle_score(&message.key, end),
         }
     }
 
     /// Silence is counted from the head of the answer on. Whether the back end serves is not known before an event.
-    fn take_answer(&mut self, key: &ItemKey) {
+    fn record_answer_head(&mut self, key: &ItemKey) {
         let now = self.context.now();
         let phase = self.items.get_mut(key).map(|item| &mut item.phase);
         let Some(Phase::Running {
@@ -44,7 +44,7 @@
         self.stalls.detector.record_event(backend, None, now);
     }
 
-    fn take_event(&mut self, key: &ItemKey, event: OutputEvent) {
+    fn record_output_event(&mut self, key: &ItemKey, event: OutputEvent) {
         let now = self.context.now();
         let Some(item) = self.items.get_mut(key) else {
             return;
@@ -60,17 +60,18 @@
         else {
             return;
         };
-        let before = last_event.replace(now);
-        let since_before = before.map(|before| now.saturating_sub(before));
-        let gap_ms = since_before.filter(|_| !is_first);
+        let previous_event = last_event.replace(now);
+        let since_previous =
+            previous_event.map(|previous_event| now.saturating_sub(previous_event));
+        let gap_ms = since_previous.filter(|_| !is_first);
         let (backend, began) = (backend.clone(), *since);
         self.stalls.detector.record_event(&backend, gap_ms, now);
         if is_first {
-            self.breaker_answered(&backend, began);
+            self.record_backend_answer(&backend, began);
         }
     }
 
-    pub(super) fn run_ended(&mut self, key: &ItemKey, end: &RunEnd) {
+    pub(super) fn handle_run_end(&mut self, key: &ItemKey, end: &RunEnd) {
         self.needs_plan = true;
         let now = self.context.now();
         let Some(item) = self.items.get_mut(key) else {
@@ -89,16 +90,16 @@
         item.phase = Phase::Waiting;
         let partition = item.partition;
         if let Some(progress) = item.take_progress(key) {
-            self.push(partition, &progress);
+            self.queue_record(partition, &progress);
         }
-        self.judge_backend(key, &backend, end, began, made_progress);
+        self.record_backend_outcome(key, &backend, end, began, made_progress);
         match end {
             RunEnd::Whole => {
-                self.note_length(key);
-                self.text_is_whole(key);
+                self.record_length(key);
+                self.score_or_finish(key);
             }
             RunEnd::Impossible => self.give_up(key, GiveUpReason::Impossible),
-            RunEnd::Failed => self.run_failed(key),
+            RunEnd::Failed => self.handle_run_failure(key),
             RunEnd::NotRun
             | RunEnd::TooLate
             | RunEnd::Unreachable
@@ -108,7 +109,7 @@
         }
     }
 
-    pub(super) fn judge_backend(
+    pub(super) fn record_backend_outcome(
         &mut self,
         key: &ItemKey,
         backend: &BackendId,
@@ -119,14 +120,14 @@
         let now = self.context.now();
         match end {
             RunEnd::Whole | RunEnd::Failed | RunEnd::Impossible => {
-                self.breaker_answered(backend, began);
+                self.record_backend_answer(backend, began);
             }
             RunEnd::NotRun => {
-                self.breaker_answered(backend, began);
+                self.record_backend_answer(backend, began);
                 self.breaker(backend).record_rejection(now);
             }
             RunEnd::WrongVersion(version) => {
-                self.breaker_answered(backend, began);
+                self.record_backend_answer(backend, began);
                 if let Some(model) = self.model_of(key) {
                     self.context
                         .backends
@@ -139,19 +140,19 @@
             RunEnd::TooLate | RunEnd::Stalled => {}
             RunEnd::Broken if made_progress => {
                 let open_ms = self.breaker(backend).record_cut_short(now);
-                tell_opened(backend, end.name(), open_ms);
+                log_breaker_opened(backend, end.name(), open_ms);
             }
             RunEnd::Broken | RunEnd::Unreachable => {
                 if *end == RunEnd::Unreachable {
                     self.stalls.detector.record_connect_failure(backend, now);
                 }
-                self.backend_failed(backend, end.name(), began);
+                self.record_backend_failure(backend, end.name(), began);
             }
         }
     }
 
     /// A run that began at `began` failed without progress, or its back end is silent now.
-    pub(super) fn backend_failed(
+    pub(super) fn record_backend_failure(
         &mut self,
         backend: &BackendId,
         cause: &'static str,
@@ -159,14 +160,14 @@
     ) {
         let now = self.context.now();
         let open_ms = self.breaker(backend).record_failure(began, now);
-        tell_opened(backend, cause, open_ms);
+        log_breaker_opened(backend, cause, open_ms);
     }
 
     fn breaker(&mut self, backend: &BackendId) -> &mut CircuitBreaker {
         self.breakers.entry(backend.clone()).or_default()
     }
 
-    fn breaker_answered(&mut self, backend: &BackendId, began: Millis) {
+    fn record_backend_answer(&mut self, backend: &BackendId, began: Millis) {
         let Some(breaker) = self.breakers.get_mut(backend) else {
             return;
         };
@@ -180,7 +181,7 @@
         inner.state.batch(&key.batch)?.model.clone()
     }
 
-    pub(super) fn run_failed(&mut self, key: &ItemKey) {
+    pub(super) fn handle_run_failure(&mut self, key: &ItemKey) {
         let attempts = self.attempts_of(key);
         let Some(item) = self.items.get_mut(key) else {
             return;
@@ -203,7 +204,7 @@
         route.unwrap_or(1).max(1)
     }
 
-    pub(super) fn text_is_whole(&mut self, key: &ItemKey) {
+    pub(super) fn score_or_finish(&mut self, key: &ItemKey) {
         let Some(item) = self.items.get_mut(key) else {
             return;
         };
@@ -215,16 +216,16 @@
                     key.clone(),
                     item.run,
                     reward,
-                    self.news_sender.clone(),
+                    self.run_message_sender.clone(),
                 ));
                 item.phase = Phase::Scoring {
-                    _task: OwnedTask(task.abort_handle()),
+                    _task: AbortOnDrop(task.abort_handle()),
                 };
             }
         }
     }
 
-    pub(super) fn scored(&mut self, key: &ItemKey, end: ScoreEnd) {
+    pub(super) fn handle_score(&mut self, key: &ItemKey, end: ScoreEnd) {
         match end {
             ScoreEnd::Score(score) => {
                 self.finish(key, Outcome::Completed { score: Some(score) });
@@ -268,15 +269,15 @@
             outcome,
         };
         if let Some(progress) = progress {
-            self.push(partition, &progress);
+            self.queue_record(partition, &progress);
         }
-        self.push(partition, &record);
+        self.queue_record(partition, &record);
         self.outbox(partition).is_urgent = true;
     }
 }
 
 /// Tells that a breaker opened, if it did.
-fn tell_opened(backend: &BackendId, cause: &'static str, open_ms: Option<Millis>) {
+fn log_breaker_opened(backend: &BackendId, cause: &'static str, open_ms: Option<Millis>) {
     let Some(open_ms) = open_ms else { return };
     metrics::breaker_opened(cause);
     info!(event = "breaker_opened", backend = backend.as_str(), cause = cause,
--- a/crates/gateway/src/engine/start.rs
+++ b/crates/gateway/src/engine/start.rs
@@ -12,13 +12,13 @@
 use log::info;
 use tokio::sync::Notify;
 
-use super::live::{LiveItem, OwnedTask, Phase};
-use super::run::{self, ItemKey, RunOrder, VersionRule};
-use super::{DEFAULT_GIVE_UP_MS, Engine};
+use super::active_item::{AbortOnDrop, ActiveItem, Phase};
+use super::run::{self, ItemKey, RunParameters, VersionRule};
+use super::{DEFAULT_GIVE_UP_AFTER_MS, Engine};
 use crate::metrics;
 
 /// What a run needs to know of its batch.
-pub(super) struct StartOfRun {
+pub(super) struct BatchParameters {
     host: String,
     tenant: Option<TenantName>,
     minimum_version: u64,
@@ -41,15 +41,15 @@
         let Some(backend) = self.context.backends.take_for(backend_id, sender, now) else {
             return;
         };
-        let Some(start) = self.prepare(key, now) else {
+        let Some(start) = self.prepare_item(key, now) else {
             return;
         };
         let Some(item) = self.items.get_mut(key) else {
             return;
         };
         let run = item.begin_run();
-        let stalled = Arc::new(Notify::new());
-        let order = RunOrder {
+        let stall_signal = Arc::new(Notify::new());
+        let parameters = RunParameters {
             key: key.clone(),
             run,
             spec: item.spec.clone(),
@@ -59,12 +59,12 @@
             versions: VersionRule {
                 minimum: start.minimum_version,
                 is_single: start.is_single_version,
-                made_by: item.made_by,
+                first_version: item.first_version,
             },
             deadline: start.deadline,
             write_by,
             urgency,
-            stalled: stalled.clone(),
+            stall_signal: stall_signal.clone(),
         };
         let resumed_from = item.resumed_from;
         let known_age_ms = self
@@ -72,14 +72,19 @@
             .known_age_ms(self.context.partitions.at(item.partition));
         let group = item.spec.group.clone();
         let expected_tokens = item.spec.expected_tokens;
-        let sender = self.news_sender.clone();
-        let task = tokio::spawn(run::make_run(self.context.clone(), backend, order, sender));
+        let sender = self.run_message_sender.clone();
+        let task = tokio::spawn(run::run_item(
+            self.context.clone(),
+            backend,
+            parameters,
+            sender,
+        ));
         item.phase = Phase::Running {
             backend: backend_id.clone(),
             since: now,
             last_event: None,
-            stalled: Some(stalled),
-            _task: OwnedTask(task.abort_handle()),
+            stall_signal: Some(stall_signal),
+            _task: AbortOnDrop(task.abort_handle()),
         };
         self.breakers
             .entry(backend_id.clone())
@@ -97,15 +102,15 @@
     }
 
     /// Makes the item one that this node works on, with the output that is kept of it.
-    pub(super) fn prepare(&mut self, key: &ItemKey, now: Millis) -> Option<StartOfRun> {
+    pub(super) fn prepare_item(&mut self, key: &ItemKey, now: Millis) -> Option<BatchParameters> {
         let index = self.context.partitions.index_of(&key.batch);
         let inner = self.context.partitions.at(index).lock();
         let batch = inner.state.batch(&key.batch)?;
         let state = batch.item(&key.item)?;
-        let give_up_ms = self.give_up_ms(batch);
+        let give_up_after_ms = self.give_up_after_ms(batch);
         let age = now.saturating_sub(batch.first_seen);
-        let left = Duration::from_millis(give_up_ms.saturating_sub(age));
-        let start = StartOfRun {
+        let left = Duration::from_millis(give_up_after_ms.saturating_sub(age));
+        let start = BatchParameters {
             host: batch.host.clone(),
             tenant: batch.tenant.clone(),
             minimum_version: batch.minimum_version,
@@ -115,21 +120,21 @@
         };
         if !self.items.contains_key(key) {
             let spec = state.spec.clone()?;
-            let item = LiveItem::new(state, spec, index, now);
+            let item = ActiveItem::new(state, spec, index, now);
             drop(inner);
             self.items.insert(key.clone(), item);
         }
         Some(start)
     }
 
-    pub(super) fn give_up_ms(&self, batch: &BatchState) -> Millis {
+    pub(super) fn give_up_after_ms(&self, batch: &BatchState) -> Millis {
         let routes = self.context.routes();
         let route = routes
             .as_ref()
             .and_then(|table| table.batch_route(&batch.host, &batch.path));
         route
             .and_then(|route| route.give_up_after_ms)
-            .unwrap_or(DEFAULT_GIVE_UP_MS)
+            .unwrap_or(DEFAULT_GIVE_UP_AFTER_MS)
     }
 
     /// Whether every event of a result must come from the same version.
@@ -148,27 +153,27 @@
         };
         let partition = item.partition;
         info!(event = "item_restarted", request = key.item.as_str(), batch = key.batch.as_str(),
-            events = item.events, version = item.made_by; "");
+            events = item.events, version = item.first_version; "");
         let progress = item.take_progress(key);
         let record = item.restart(key);
         if let Some(progress) = progress {
-            self.push(partition, &progress);
+            self.queue_record(partition, &progress);
         }
-        self.push(partition, &record);
+        self.queue_record(partition, &record);
     }
 
     /// Takes over output that an earlier batch kept of the same item.
-    pub(super) fn take_kept_output(&mut self, key: &ItemKey, kept: Vec<OutputEvent>) {
+    pub(super) fn adopt_output(&mut self, key: &ItemKey, earlier: Vec<OutputEvent>) {
         let Some(item) = self.items.get_mut(key) else {
             return;
         };
         item.begin_run();
-        for event in kept {
+        for event in earlier {
             item.add_event(event);
         }
         let partition = item.partition;
         if let Some(progress) = item.take_progress(key) {
-            self.push(partition, &progress);
+            self.queue_record(partition, &progress);
         }
     }
 }
