--- a/crates/gateway/src/engine/active_item.rs
+++ b/crates/gateway/src/engine/active_item.rs
@@ -1,4 +1,4 @@
-//! An item that this node works on.
+//! The state of an item that this node runs.
 
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
 
 use super::run::ItemKey;
 
-/// A task that ends when it is dropped.
+/// Aborts a task when it is dropped.
 #[derive(Debug)]
 pub struct AbortOnDrop(pub AbortHandle);
 
@@ -22,66 +22,69 @@
     }
 }
 
-/// What is being done about an item.
+/// The stage of work on an item.
 #[derive(Debug)]
 pub enum Phase {
-    /// It waits for a place.
+    /// The item waits for a free slot.
     Waiting,
-    /// It runs on a back end.
+    /// A run of the item is in flight.
     Running {
-        /// Where.
+        /// The back end that runs the item.
         backend: BackendId,
-        /// Since when.
+        /// When the run began, by the node's clock.
         since: Millis,
-        /// When its last event came, or the head of its answer, if one has.
+        /// When the last event or the head of the response arrived; `None` before the head.
         last_event: Option<Millis>,
-        /// Has the run end as one that is stalled, unless it was told to already.
+        /// Tells the run to end as stalled; `None` once that was done.
         stall_signal: Option<Arc<Notify>>,
-        /// The run.
+        /// The task of the run, which is aborted when the phase changes.
         _task: AbortOnDrop,
     },
-    /// Its output is whole and its reward call is under way.
+    /// The output is whole and the reward call is in flight.
     Scoring {
-        /// The call.
+        /// The task of the reward call, which is aborted when the phase changes.
         _task: AbortOnDrop,
     },
-    /// Its end waits to be written down.
+    /// The outcome waits to be written to the log, or to be read back from it.
     Finishing {
-        /// Since when.
+        /// When the item finished, by the node's clock.
         since: Millis,
     },
 }
 
-/// An item that this node works on.
+/// An item that this node runs, scores or finishes.
 #[derive(Debug)]
 pub struct ActiveItem {
-    /// What it asks for.
+    /// The request to back ends, and the reward call if there is one.
     pub spec: Arc<Item>,
     /// Index of its batch's partition.
     pub partition: usize,
-    /// What is being done.
+    /// The current stage of work.
     pub phase: Phase,
-    /// The current or last run.
+    /// Id of the current or last run.
     pub run: RunId,
-    /// Events that run was given to go on from.
+    /// Number of events that the item had when that run began.
     pub resumed_from: u32,
-    /// Events there, written down or not.
+    /// Number of output events, whether or not they are in a log record yet.
     pub events: u32,
-    /// Version that made the first event.
+    /// The weight version that produced the first event; `None` if there is no output.
     pub first_version: Option<Version>,
-    /// How often it was moved to another back end.
+    /// How often this node moved the item to a faster back end.
     pub moves: u32,
-    /// Answers of back ends that they failed at it.
+    /// How often a back end answered with an internal server error.
     pub failures: u32,
-    /// Since when this node works on it.
+    /// When this node began to work on the item, by the node's clock.
     pub since: Millis,
+    /// Number of events that the log held when this node began to work on the item.
     logged_events: u32,
+    /// All runs that this node began.
     own_runs: Vec<RunId>,
+    /// Events that are in no log record yet.
     unrecorded: Vec<OutputEvent>,
 }
 
 impl ActiveItem {
-    /// An item as the log tells of it; nothing is done yet.
+    /// Creates an item in the waiting phase, with the output that the log holds.
     pub fn new(state: &ItemState, spec: Arc<Item>, partition: usize, now: Millis) -> Self {
         let events = state.events.len() as u32;
         let run = state.run.unwrap_or(RunId(0));
@@ -102,7 +105,7 @@
         }
     }
 
-    /// Begins a run that goes on from the events there.
+    /// Begins a run that continues after the events so far, and returns its id.
     pub fn begin_run(&mut self) -> RunId {
         let run = RunId(rand::random());
         self.run = run;
@@ -111,14 +114,14 @@
         run
     }
 
-    /// Adds an event of the current run.
+    /// Appends an event of the current run to the output.
     pub fn add_event(&mut self, event: OutputEvent) {
         self.events += 1;
         self.first_version.get_or_insert(event.version);
         self.unrecorded.push(event);
     }
 
-    /// The record of the events that are not written down yet, if there are any.
+    /// Returns a log record of the events that are in no record yet; `None` if there are none.
     pub fn take_progress(&mut self, key: &ItemKey) -> Option<BatchRecord> {
         if self.unrecorded.is_empty() {
             return None;
@@ -134,7 +137,8 @@
         })
     }
 
-    /// Drops the output, which must be written down as far as it goes.
+    /// Drops the output and returns the log record of that. The caller must record pending events before, with
+    /// [`take_progress`](Self::take_progress).
     pub fn restart(&mut self, key: &ItemKey) -> BatchRecord {
         let record = BatchRecord::Restarted {
             batch: key.batch.clone(),
@@ -147,13 +151,13 @@
         record
     }
 
-    /// Whether the log holds output of somebody else that this node's work does not continue.
+    /// Whether the log holds output of another node's run that this node's output does not continue.
     pub fn is_overtaken(&self, state: &ItemState) -> bool {
         let is_ours = state.run.is_some_and(|run| self.own_runs.contains(&run));
         !is_ours && state.events.len() as u32 != self.logged_events
     }
 
-    /// Where it runs, if it runs.
+    /// The back end that runs the item; `None` if no run is in flight.
     pub fn running_on(&self) -> Option<&BackendId> {
         match &self.phase {
             Phase::Running { backend, .. } => Some(backend),
--- a/crates/gateway/src/engine/barred.rs
+++ b/crates/gateway/src/engine/barred.rs
@@ -1,5 +1,6 @@
-//! Items under which back ends ended: they wait until the bar is lifted, their batch ends, or they may be
-//! given up, and take no place meanwhile. So do those whose ends no other node could be told of yet.
+//! Keeps items from running that are suspected of crashing back ends. A barred item takes no slot; it waits until
+//! its bar is lifted, its batch ends, or it is given up. The same holds while a suspected item awaits reports of
+//! other nodes, and while this node could not yet report its ends (the crashes during it) to another node.
 
 use std::collections::HashSet;
 
@@ -12,11 +13,12 @@
 use crate::crash_guard;
 use crate::fingerprint;
 
-/// Barred items that are remembered as told; behind these each is told once more.
+/// Maximum number of items remembered as logged. Beyond it the engine forgets them all, so an item that is still
+/// barred is logged once more.
 const MAX_LOGGED_BARRED: usize = 1_024;
 
 impl Engine {
-    /// Those of the waiting items that must not be run, or not yet.
+    /// Those of the waiting items that must not run now.
     pub(super) fn barred_items(&mut self, waiting: &[WaitingItem]) -> HashSet<ItemKey> {
         let may_bar = self
             .context
--- a/crates/gateway/src/engine/candidates.rs
+++ b/crates/gateway/src/engine/candidates.rs
@@ -1,4 +1,4 @@
-//! The back ends of a pool as places for items.
+//! Lists the back ends of a pool that may run items now, with their free slots, memory and speed.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -13,15 +13,15 @@
 use super::Engine;
 use super::plan::PoolWork;
 
-/// Time after which an order of which nothing was heard no longer keeps items away.
+/// Time after which an unanswered order to load a version no longer excludes its back end from items.
 pub(super) const LOAD_ORDER_TIMEOUT_MS: Millis = 4_000;
-/// Gap between events of a back end whose speed is not known yet.
+/// Time between two events of a stream, assumed while no back end of the pool has a measured one.
 const DEFAULT_EVENT_GAP_MS: f64 = 30.0;
-/// Shortest gap that is told apart from none.
+/// Lower bound of the gap between events that the scheduler calculates with, so that it is never zero.
 const MIN_EVENT_GAP_MS: f64 = 1.0;
 
 impl Engine {
-    /// Gap between events that is usual among a pool's back ends.
+    /// Median over a pool's back ends of the time between two events of a stream.
     pub(super) fn median_gap_ms(&self, pool: &PoolName, now: Millis) -> f64 {
         let backends = self.context.backends.lock();
         let ready = backends.list.ready_in(pool);
@@ -29,7 +29,9 @@
         median(gaps_ms.collect()).unwrap_or(DEFAULT_EVENT_GAP_MS)
     }
 
-    /// Back ends that may be given items now, and whose weights serve any of them.
+    /// Back ends that may run items now and whose weights are new enough for at least one of them. Excludes
+    /// back ends whose circuit breaker is open, that load a version, or that are cold while others are warm.
+    /// `oldest` is the oldest version of each model that any item may run on.
     pub(super) fn candidates(
         &self,
         pool: Option<&Pool>,
@@ -107,7 +109,7 @@
         candidates
     }
 
-    /// How many items of this node run on each back end.
+    /// Number of this node's running items on each back end.
     pub(super) fn own_running_by_backend(&self) -> BTreeMap<BackendId, u32> {
         let mut running = BTreeMap::new();
         for backend in self.items.values().filter_map(|item| item.running_on()) {
@@ -116,7 +118,7 @@
         running
     }
 
-    /// Tokens that other nodes' items are expected to hold on each back end, as they tell.
+    /// Tokens that other nodes' items are expected to hold on each back end, by the reports of those nodes.
     fn other_nodes_tokens(&self) -> BTreeMap<BackendId, u32> {
         let own_node = &self.context.node;
         self.context.expected_tokens(|node| node != own_node)
@@ -136,8 +138,8 @@
     }
 }
 
-/// The oldest version of each model that any of the items may run on; empty if some item may run on any
-/// back end. Most back ends of a large pool serve other models.
+/// The oldest version of each model that any of the items may run on; empty if some item names no model and
+/// so may run on any back end. Most back ends of a large pool serve other models, and this excludes them.
 pub(super) fn oldest_versions(work: &PoolWork) -> BTreeMap<ModelName, Version> {
     let running = work.running.iter().map(|running| &running.item);
     let mut oldest: BTreeMap<ModelName, Version> = BTreeMap::new();
--- a/crates/gateway/src/engine/carried_over.rs
+++ b/crates/gateway/src/engine/carried_over.rs
@@ -1,4 +1,5 @@
-//! Items that a batch shares with an earlier one of the same trainer, and the output they have there.
+//! Items that a batch shares with another batch of the same tenant, and the output that they have there. A trainer
+//! carries unfinished items over into its next batch; their output is reused instead of produced again.
 
 use std::collections::HashSet;
 
@@ -12,16 +13,17 @@
 use super::run::ItemKey;
 use crate::context::Context;
 
-/// Items of a batch that an earlier batch holds too.
+/// Items of a batch that another batch of the same tenant holds too.
 #[derive(Debug)]
 pub(super) struct CarriedOver {
     pub(super) items: HashSet<ItemId>,
-    /// Whether all earlier batches were known.
+    /// Whether the partitions were read far enough for all other batches to be known.
     is_final: bool,
 }
 
 impl Engine {
-    /// Notes which items of this node's new batches in a partition are in an earlier batch too.
+    /// Finds the carried over items of this node's batches in a partition. A batch is looked at again in each round
+    /// of planning until all other batches are known.
     pub(super) fn find_carried_over(&mut self, partition: usize) {
         let inner = self.context.partitions.at(partition).lock();
         let new: Vec<NewBatch> = inner
@@ -39,15 +41,15 @@
         }
     }
 
-    /// Whether all earlier batches were looked through for this one's items.
+    /// Whether the search for a batch's carried over items covered all other batches.
     fn has_final_carried_over(&self, batch: &BatchId) -> bool {
         self.carried_over
             .get(batch)
             .is_some_and(|carried_over| carried_over.is_final)
     }
 
-    /// Takes over what an earlier batch has of the item; true if that is its whole output.
-    pub(super) fn reuse_earlier_output(&mut self, key: &ItemKey, waiting: &WaitingItem) -> bool {
+    /// Reuses the output that another batch has of the item. Returns whether that is the whole output.
+    pub(super) fn reuse_output(&mut self, key: &ItemKey, waiting: &WaitingItem) -> bool {
         if self.items.get(key).is_none_or(|item| item.events > 0) {
             return false;
         }
@@ -68,20 +70,20 @@
             is_single: self.is_single_version(batch),
         };
         drop(inner);
-        let Some(earlier) = find_earlier_output(&self.context, key, &rule) else {
+        let Some(reusable) = find_reusable_output(&self.context, key, &rule) else {
             return false;
         };
         info!(event = "output_kept", request = key.item.as_str(), batch = key.batch.as_str(),
-            events = earlier.events.len(), is_whole = earlier.is_whole; "");
-        self.adopt_output(key, earlier.events);
-        if earlier.is_whole {
+            events = reusable.events.len(), is_whole = reusable.is_whole; "");
+        self.adopt_output(key, reusable.events);
+        if reusable.is_whole {
             self.score_or_finish(key);
         }
-        earlier.is_whole
+        reusable.is_whole
     }
 }
 
-/// A batch whose items are to be looked for in earlier ones.
+/// A batch whose items are searched for in other batches.
 struct NewBatch {
     id: BatchId,
     tenant: Option<TenantName>,
@@ -112,28 +114,29 @@
     carried_over
 }
 
-struct EarlierOutput {
+struct ReusableOutput {
     events: Vec<OutputEvent>,
     is_whole: bool,
 }
 
-/// Which kept output a batch may use.
+/// Which output of other batches a batch may reuse.
 struct ReuseRule {
-    /// The tenant that both batches belong to: one must not get at another's output by naming its items.
+    /// The tenant that both batches must belong to. Otherwise a tenant could read another's output by submitting
+    /// the ids of its items.
     tenant: Option<TenantName>,
-    /// The oldest version that may have made an event.
+    /// The oldest weight version that may have produced an event.
     minimum: Version,
     /// Whether all events must come from one version.
     is_single: bool,
 }
 
 /// The longest output that another batch of the tenant has of the item, if all its versions are allowed.
-fn find_earlier_output(
+fn find_reusable_output(
     context: &Context,
     key: &ItemKey,
     rule: &ReuseRule,
-) -> Option<EarlierOutput> {
-    let mut best: Option<EarlierOutput> = None;
+) -> Option<ReusableOutput> {
+    let mut best: Option<ReusableOutput> = None;
     for index in context.partitions.needed() {
         let inner = context.partitions.at(index).lock();
         let others = inner.state.batches();
@@ -153,7 +156,7 @@
                 .as_ref()
                 .is_none_or(|best| events.len() > best.events.len());
             if is_allowed && is_better && !events.is_empty() {
-                best = Some(EarlierOutput {
+                best = Some(ReusableOutput {
                     events: events.clone(),
                     is_whole,
                 });
--- a/crates/gateway/src/engine/claim.rs
+++ b/crates/gateway/src/engine/claim.rs
@@ -1,4 +1,4 @@
-//! Takes over a batch whose owner is silent, gone, or gave it up.
+//! Claims the lease of a batch whose owner sends no heartbeats, has left, or released it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,32 +17,35 @@
 use crate::edge::LogError;
 use crate::log_writes::append;
 
-/// What came of a claim.
+/// Result of an attempt to claim a batch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimOutcome {
     /// This node holds the lease.
     Claimed,
-    /// Nothing is left to be done about the batch.
+    /// The batch is closed: it ended, or all its results are in the log.
     Closed,
-    /// Another node has claimed it, though it has not said so to all yet.
+    /// Another node holds the lease, though the index does not name that node yet.
     HeldBy(NodeId),
-    /// It could not be claimed; not before a while has passed.
+    /// The claim failed, or its conditions are not met. It may be tried again after a pause.
     RetryLater,
 }
 
-/// What a batch's partition, read to its end, says to a claim.
+/// Whether a batch can be claimed, by the state of its partition, which has been read to its end.
 enum ClaimCheck {
-    /// It may be claimed under the next term.
-    Claimable { term: Term, former: Option<NodeId> },
-    /// Nothing is left to be done.
+    /// It can be claimed under the term after `term`; `former` is the holder until then.
+    Claimable {
+        term: Term,
+        former: Option<NodeId>,
+    },
     Closed,
-    /// Another node claimed it.
     HeldBy(NodeId),
-    /// The batch is not there, or records of it were missed.
+    /// Not known: the state of the partition lacks the batch, for instance because records were missed. Also
+    /// used if the batch may not be kept in this node's region.
     Unknown,
 }
 
-/// When this node may claim a batch, by what the index tells of its owner.
+/// Delays after which this node may claim a batch. They depend on the owner that the index names, so that
+/// not all nodes claim it at once.
 pub(super) fn batch_claim_timing(context: &Context, batch: &IndexedBatch) -> ClaimTiming {
     let owner = batch.owner.holder().map(ToString::to_string);
     let owner = owner.unwrap_or_default();
@@ -50,8 +53,8 @@
     claim_timing(context, &claim)
 }
 
-/// Claims a batch, and tells the engine what came of it. `silent` is a node that was found to hold the
-/// lease at an earlier try, and has not said since that it runs the batch.
+/// Claims a batch and sends the result to the engine. `silent_holder` is a node that held the lease at an
+/// earlier attempt and has not announced since then that it runs the batch.
 pub(super) async fn claim(
     context: Arc<Context>,
     batch: BatchId,
@@ -68,8 +71,9 @@
     let _ = sender.send(TaskEnd::Claim { batch, outcome });
 }
 
-/// Claims a batch if the index, read to its end, still shows no sign of its owner, and the batch's
-/// partition no other claim. Whether the claim counts is seen in the partition.
+/// Reads the index and the batch's partition to their ends, and claims the batch if its owner is still
+/// silent in the index and the partition holds no other claim. Reads the partition again afterwards, since
+/// only that shows whether the claim counts: another node may have claimed the batch first.
 async fn claim_once(
     context: &Context,
     batch: &BatchId,
@@ -130,13 +134,13 @@
     if state.is_closed() {
         return ClaimCheck::Closed;
     }
-    // Its tenant is known only now.
+    // The index does not hold the tenant, so its residency rule is checked here.
     let residency = context.batch_residency(&state.host, &state.path, state.tenant.as_ref());
     if !residency.allows(context.own_region().as_ref()) {
         return ClaimCheck::Unknown;
     }
-    // A node that holds the lease and that the index does not name has claimed it only now, or died
-    // before it could say so.
+    // If the index does not name the holder of the lease, the holder has claimed the batch just now, or it
+    // died before it could announce it.
     let named = indexed.owner.holder();
     let other_holder = state.lease.holder().filter(|holder| {
         Some(*holder) != named && Some(*holder) != silent_holder && **holder != context.node
--- a/crates/gateway/src/engine/ended_batches.rs
+++ b/crates/gateway/src/engine/ended_batches.rs
@@ -1,7 +1,7 @@
-//! Batches that ended while this node ran items of them.
+//! Logs batches that were ended while this node ran items of them.
 //!
-//! The end of a batch is acknowledged by the node that was asked for it. Only these lines say when the
-//! node that runs its items learned of the end, and how old its knowledge was.
+//! A client's request to end a batch is acknowledged by the node that receives it. Only these log lines show when
+//! the node that runs the items learned of the end, and how old its knowledge of the batch was.
 
 use std::collections::BTreeMap;
 
@@ -11,12 +11,12 @@
 use super::Engine;
 use super::run::ItemKey;
 
-/// Why an item is dropped whose batch ended.
+/// Reason to drop an item: its batch was ended.
 pub(super) const BATCH_ENDED: &str = "batch_ended";
 
 impl Engine {
-    /// Tells of each batch that ended among the items that are about to be dropped. There is one line for a
-    /// batch, since no item of an ended batch is started again.
+    /// Logs each ended batch that has items among those about to be dropped. There is one line per batch,
+    /// since no item of an ended batch is started again.
     pub(super) fn log_ended_batches(&self, dropped: &[(ItemKey, &'static str)]) {
         let mut items_of: BTreeMap<&BatchId, usize> = BTreeMap::new();
         for (key, reason) in dropped {
--- a/crates/gateway/src/engine/flush.rs
+++ b/crates/gateway/src/engine/flush.rs
@@ -1,4 +1,4 @@
-//! Writes progress and ends of items down, in groups.
+//! Appends the progress and outcomes of items to the log, in groups.
 
 use std::collections::BTreeSet;
 
--- a/crates/gateway/src/engine/heartbeat.rs
+++ b/crates/gateway/src/engine/heartbeat.rs
@@ -1,4 +1,5 @@
-//! Tells other nodes which batches this one runs, and which places its items take.
+//! Writes this node's heartbeats, which name the batches that it runs, and reports which slots of back ends its
+//! items take.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -14,19 +15,18 @@
 use crate::context::{CONTROL, OCCUPANCY};
 use crate::log_writes::append_repeated;
 
-/// Time after which places that are taken are told again though nothing changed: well within the age
-/// up to which they count.
+/// Time after which unchanged occupancy is reported again: well below the age up to which a report counts.
 const OCCUPANCY_REFRESH_MS: Millis = 1_000;
 
-/// Time after which this node's address is told again, for nodes that missed it.
+/// Time after which this node's address is announced again, for nodes that missed it.
 const ADDRESS_REFRESH_MS: Millis = 20_000;
-/// The same while it was not read back: the record may be lost.
+/// The same while this node has not read its own announcement from the control stream: the record may be lost.
 const ADDRESS_RETRY_MS: Millis = 1_000;
 
 /// Microseconds in a millisecond.
 const US_PER_MS: f64 = 1_000.0;
 
-/// What was last told, and when.
+/// What this node last reported, and when.
 #[derive(Debug, Default)]
 pub(super) struct Heartbeats {
     heartbeat_at: Millis,
@@ -38,7 +38,8 @@
 }
 
 impl Engine {
-    /// Says that this node is alive and runs these batches, when it is due or they have changed.
+    /// Sends a heartbeat that names the open ones of the held batches, if one is due or a batch is new. Only one
+    /// is in flight at a time.
     pub(super) fn send_heartbeat(&mut self, held: &[HeldBatch], now: Millis) {
         self.report_occupancy(now);
         let batches = open_ids(held);
@@ -63,8 +64,8 @@
         });
     }
 
-    /// Says where this node answers questions about the batches that it runs, once more if that cannot be read
-    /// in the control stream.
+    /// Announces the address where this node answers questions about the batches that it runs. Repeats it sooner
+    /// if the control stream does not show the announcement.
     fn announce_address(&mut self, now: Millis) {
         let Some(address) = self.context.peers.own_address() else {
             return;
@@ -87,7 +88,8 @@
         tokio::spawn(append_repeated(self.context.clone(), CONTROL, record));
     }
 
-    /// Routes of the batches, so that this node is handed their next ones; none while it stops.
+    /// Names of the routes of the held batches, so that new batches of these routes are submitted to this node;
+    /// none while it stops.
     fn served_routes(&self, held: &[HeldBatch]) -> Vec<String> {
         let Some(table) = self.context.routes() else {
             return Vec::new();
@@ -103,8 +105,8 @@
         routes.into_iter().collect()
     }
 
-    /// Back ends with items of this node, and those of which it has lately seen how quick they are: others are
-    /// to leave a slow one alone also when no item runs there any more.
+    /// Details on back ends that run items of this node, and on those whose speed it measured recently: other nodes
+    /// avoid a slow back end also when no item runs there any more.
     fn backend_details(&self, now: Millis) -> BTreeMap<BackendId, BackendDetail> {
         let mut details: BTreeMap<BackendId, BackendDetail> = BTreeMap::new();
         for (backend, tokens) in self.item_lengths.expected_tokens() {
@@ -124,7 +126,7 @@
             running: self.own_running_by_backend(),
             details: self.backend_details(now),
         };
-        // Expected tokens change with each event; they go along when the places are told.
+        // Expected tokens change with each event, so a change of them alone does not trigger a report.
         let last = self.heartbeats.last_occupancy.as_ref();
         let is_same = last.map_or(record.running.is_empty(), |last| {
             last.running == record.running
@@ -144,7 +146,7 @@
     }
 }
 
-/// Whether no heartbeat is under way; if so, one is from now on.
+/// Marks a heartbeat as in flight. Returns false if one already is.
 fn try_begin(is_sending: &AtomicBool) -> bool {
     !is_sending.swap(true, Ordering::Acquire)
 }
--- a/crates/gateway/src/engine/item_lengths.rs
+++ b/crates/gateway/src/engine/item_lengths.rs
@@ -1,4 +1,5 @@
-//! How long items become: what this node saw of each pool's items, and what it expects of those that run.
+//! Lengths of items: statistics of the finished items of each pool, and the tokens that this node's running items
+//! are expected to take on each back end.
 
 use std::collections::BTreeMap;
 
@@ -12,16 +13,16 @@
 use super::plan::tokens_per_event;
 use super::run::ItemKey;
 
-/// What is known of the lengths of items, and of the memory that they take.
+/// Lengths of finished items, and the memory that running items are expected to take.
 #[derive(Debug, Default)]
 pub(super) struct ItemLengths {
     by_pool: BTreeMap<PoolName, LengthHistory>,
-    /// This node's items on each back end, as of the last plan.
+    /// This node's items on each back end, as of the last round of planning.
     on_backends: BTreeMap<BackendId, Vec<ItemTokens>>,
 }
 
 impl ItemLengths {
-    /// Tokens still expected of an item that made so many.
+    /// Number of tokens that an item is still expected to produce after `made_tokens`.
     pub(super) fn expected_remaining(
         &self,
         pool: &PoolName,
@@ -34,7 +35,7 @@
         }
     }
 
-    /// This node's items on a back end.
+    /// Tokens of each of this node's items on a back end, as of the last round of planning.
     pub(super) fn items_on(&self, backend: &BackendId) -> Vec<ItemTokens> {
         self.on_backends.get(backend).cloned().unwrap_or_default()
     }
@@ -47,19 +48,19 @@
         })
     }
 
-    /// Begins to count anew what runs.
+    /// Forgets the items on all back ends, before a round of planning lists them again.
     pub(super) fn clear_backends(&mut self) {
         self.on_backends.clear();
     }
 
-    /// Counts what runs in a pool.
+    /// Adds the running items of a pool to their back ends.
     pub(super) fn add_running(&mut self, running: &[RunningItem]) {
         for running in running {
             self.add_item(&running.backend, running.item.tokens());
         }
     }
 
-    /// Counts an item on a back end.
+    /// Adds an item to a back end.
     pub(super) fn add_item(&mut self, backend: &BackendId, tokens: ItemTokens) {
         let items = self.on_backends.entry(backend.clone()).or_default();
         items.push(tokens);
@@ -67,7 +68,7 @@
 }
 
 impl Engine {
-    /// Remembers how long an item became that ended whole.
+    /// Adds the length of an item whose output is whole to the statistics of its pool.
     pub(super) fn record_length(&mut self, key: &ItemKey) {
         let Some(item) = self.items.get(key) else {
             return;
@@ -80,7 +81,7 @@
         history.record_finished(estimated_tokens, events.saturating_mul(tokens_per_event));
     }
 
-    /// The pool that runs an item, and the tokens of its events.
+    /// The pool that runs an item, and the number of tokens in one of its events.
     fn pool_of(&self, key: &ItemKey) -> Option<(PoolName, u32)> {
         let table = self.context.routes()?;
         let inner = self.context.partition_of(&key.batch).lock();
--- a/crates/gateway/src/engine/leases.rs
+++ b/crates/gateway/src/engine/leases.rs
@@ -1,4 +1,5 @@
-//! Which batches this node runs, which it may take over, and how it gives them up.
+//! Maintains this node's leases: sends heartbeats for batches that it holds, claims batches without a live owner,
+//! announces closed batches, and releases all when the process stops.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -20,12 +21,12 @@
 use crate::context::{CONTROL, Context};
 use crate::log_writes::{append_control, append_repeated};
 
-/// Time after a batch closed in which its owner still says that it serves the route, so that the
-/// route's next batch can be given to it.
+/// Time after a batch is closed for which its owner's heartbeats still name the route, so that the route's next
+/// batch can be submitted to the same node.
 const CLOSED_LINGER_MS: Millis = 4_000;
-/// Pause before a record of the index is appended again.
+/// Pause before the append of a release announcement is retried.
 const REPEAT_PAUSE: Duration = Duration::from_millis(200);
-/// Time after which a batch that is still open in the index is told to be closed once more.
+/// Time after which a batch is announced as closed again if the index still shows it as open.
 const CLOSED_REPEAT_MS: Millis = 2_000;
 
 /// A batch whose lease this node holds.
@@ -33,32 +34,35 @@
     pub(super) batch: BatchId,
     pub(super) host: String,
     pub(super) path: String,
-    /// Whether something is left to be done.
+    /// Whether the batch has items without a result and was not ended.
     pub(super) is_open: bool,
     term: Term,
 }
 
-/// What a look at the index calls for.
+/// What is to be done about leases, by the batch index.
 #[derive(Default)]
 struct LeaseWork {
+    /// Batches whose lease this node holds.
     held: Vec<HeldBatch>,
-    /// Batches of which nothing is left to be done, though the index does not say so.
+    /// Batches that are closed, or whose items never arrived, though the index shows them as open.
     closed: Vec<BatchId>,
+    /// Batches that this node may claim now.
     claimable: Vec<BatchId>,
 }
 
-/// What this node's own copy of a batch's partition tells of it.
+/// A batch as this node's copy of its partition shows it.
 enum LocalCopy {
     /// The batch is there, under this lease.
     Present { lease: LeaseState, is_open: bool },
-    /// It is not there, and the partition has been read whole.
+    /// The partition was read to its end without a gap, and does not hold the batch.
     Absent,
-    /// The partition has not been read to its end, or not without a gap.
+    /// The batch was not found, but the partition was not read to its end, or records of it were missed.
     Unread,
 }
 
 impl Engine {
-    /// Tells which batches this node runs, claims those without an owner, releases all at the end.
+    /// Sends heartbeats, announces closed batches and claims batches without a live owner. Releases all batches
+    /// instead once the process is to do so.
     pub(super) fn update_leases(&mut self) {
         let now = self.context.now();
         let recent = recent_batches(&self.context, now);
@@ -92,7 +96,7 @@
         }
     }
 
-    /// Forgets what was noted of batches that are long closed.
+    /// Drops all data on batches that are not in `recent`.
     fn retain_recent(&mut self, recent: &[IndexedBatch]) {
         let recent: BTreeSet<&BatchId> = recent.iter().map(|batch| &batch.notice.batch).collect();
         self.closed_announced_at
@@ -114,7 +118,7 @@
                     if !is_open && batch.is_open() {
                         work.closed.push(id.clone());
                     }
-                    work.held.push(held(&batch, &lease, is_open));
+                    work.held.push(held_batch(&batch, &lease, is_open));
                     continue;
                 }
                 LocalCopy::Absent if are_items_missing(&batch, now) => work.closed.push(id.clone()),
@@ -129,7 +133,7 @@
         work
     }
 
-    /// A claim ended; the batch is left alone for a while unless this node holds it now.
+    /// Handles the result of a claim. If this node does not hold the batch now, it waits before the next claim.
     pub(super) fn handle_claim_end(&mut self, batch: BatchId, outcome: ClaimOutcome) {
         self.claiming.remove(&batch);
         self.needs_plan = true;
@@ -150,7 +154,7 @@
         }
     }
 
-    /// Tells all nodes that nothing is left to be done about a batch.
+    /// Announces to all nodes that a batch is closed.
     fn announce_closed(&mut self, batch: BatchId, now: Millis) {
         let announced_at = self.closed_announced_at.get(&batch);
         if announced_at.is_some_and(|at| now.saturating_sub(*at) < CLOSED_REPEAT_MS) {
@@ -163,7 +167,7 @@
     }
 
     fn release_all(&mut self, held: Vec<HeldBatch>) {
-        let open: Vec<HeldBatch> = held.into_iter().filter(|held| held.is_open).collect();
+        let open: Vec<HeldBatch> = held.into_iter().filter(|batch| batch.is_open).collect();
         if !self.has_released {
             self.has_released = true;
             info!(event = "batches_released", count = open.len(); "");
@@ -196,7 +200,8 @@
     }
 }
 
-/// Tells all nodes that batches have no owner; they wait for it only until this node's time is up.
+/// Announces to all nodes that batches have no owner. Retries until it succeeds; the process does not wait for it
+/// beyond its own time limit to stop.
 async fn announce_release(context: Arc<Context>, batches: Vec<BatchId>) {
     if batches.is_empty() {
         context.released.store(true, Ordering::Relaxed);
@@ -213,7 +218,7 @@
     context.released.store(true, Ordering::Relaxed);
 }
 
-/// Batches that are open, or were a moment ago.
+/// Batches that are open, or were closed less than `CLOSED_LINGER_MS` ago.
 fn recent_batches(context: &Context, now: Millis) -> Vec<IndexedBatch> {
     let control = context.control.lock();
     let is_recent = |batch: &&IndexedBatch| {
@@ -230,7 +235,7 @@
         .collect()
 }
 
-fn held(batch: &IndexedBatch, lease: &LeaseState, is_open: bool) -> HeldBatch {
+fn held_batch(batch: &IndexedBatch, lease: &LeaseState, is_open: bool) -> HeldBatch {
     HeldBatch {
         batch: batch.notice.batch.clone(),
         host: batch.notice.host.clone(),
@@ -254,13 +259,14 @@
     }
 }
 
-/// An owner that says that it runs the batch has read its items, though they may be dropped by now.
+/// Whether the items of a batch never reached its partition. An owner that names the batch in its heartbeats has
+/// read the items, even if the log has dropped them by now, so the time limit starts at its last heartbeat.
 fn are_items_missing(batch: &IndexedBatch, now: Millis) -> bool {
     let last_seen = batch.first_seen.max(batch.owner.last_seen());
     batch.is_open() && now.saturating_sub(last_seen) > MISSING_ITEMS_TIMEOUT_MS
 }
 
-/// Whether this node may claim a batch, by what the index tells of its owner.
+/// Whether this node may claim a batch now, by the last heartbeat of the owner that the index names.
 pub(super) fn is_claimable(
     context: &Context,
     batch: &IndexedBatch,
@@ -269,7 +275,8 @@
 ) -> bool {
     let timing = batch_claim_timing(context, batch);
     let at = match batch.owner.is_held_by(&context.node) {
-        // The index names this node, and the batch's own partition another, which would have told.
+        // The index names this node as the owner, but the batch's partition names another one. That node is
+        // silent, since its heartbeat would have changed the index.
         true => batch.owner.last_seen().max(readable_since) + timing.silence_ms,
         false => batch
             .owner
@@ -278,15 +285,15 @@
     batch.is_open() && now >= at && can_own(context, batch)
 }
 
-/// Whether a batch may be kept in this node's region, by its route.
+/// Whether the residency rule of its route lets a batch be kept in this node's region.
 fn can_own(context: &Context, batch: &IndexedBatch) -> bool {
     let BatchNotice { host, path, .. } = &batch.notice;
     let residency = context.batch_residency(host, path, None);
     residency.allows(context.own_region().as_ref())
 }
 
-/// Ids of the open ones among held batches.
+/// Ids of those held batches that are open.
 pub(super) fn open_ids(held: &[HeldBatch]) -> BTreeSet<BatchId> {
-    let open = held.iter().filter(|held| held.is_open);
+    let open = held.iter().filter(|batch| batch.is_open);
     open.map(|held| held.batch.clone()).collect()
 }
--- a/crates/gateway/src/engine/mod.rs
+++ b/crates/gateway/src/engine/mod.rs
@@ -1,7 +1,8 @@
 //! Runs the items of the batches whose leases this node holds.
 //!
-//! One task holds all state. Runs and reward calls are tasks that report to it; what they bring is
-//! appended to the log in groups, and only the log's fold decides what counts.
+//! One task owns all state. Each run and each reward call is a task of its own that sends messages to
+//! it. The engine appends their output and outcomes to the log in groups. A record counts only once the
+//! state that is built from the log accepts it: it ignores, for instance, output of an item that has a result.
 
 mod active_item;
 mod barred;
@@ -48,34 +49,40 @@
 use run::{ItemKey, RunMessage};
 use stalls::StallWatch;
 
-/// Rest after a plan, as a multiple of the time it took: planning uses at most a third of the processor.
+/// Pause after a round of planning, as a multiple of the time that the round took: planning then uses at
+/// most a third of one processor.
 const PLAN_REST_FACTOR: u32 = 2;
-/// Pause between two looks at the work when nothing runs.
+/// Time between two rounds of planning while no item is active and no record waits to be written.
 const IDLE_PAUSE: Duration = Duration::from_millis(250);
-/// Time after which an end that was written down must be seen in the log.
+/// Time within which an appended outcome of an item must be read back from the log. After it the engine
+/// takes the record for one that did not count, and drops the item.
 const END_READ_TIMEOUT_MS: Millis = 3_000;
-/// Time that a route without a bound of its own gives an item.
+/// Age of a batch at which its unfinished items are given up, for routes that set no limit.
 const DEFAULT_GIVE_UP_AFTER_MS: Millis = 60_000;
 
-/// Why an item is dropped whose result is listed.
+/// Reason to drop an item: its result is in the log.
 const RESULT_LISTED: &str = "listed";
-/// Why an item is dropped that is no longer known: records of its partition were dropped before they were
-/// read here, or its batch is past its retention.
+/// Reason to drop an item: the state of its partition does not hold it. The log dropped records before
+/// this node read them, or the retention time of the batch is over.
 const ITEM_UNKNOWN: &str = "not_known";
 
-/// Runs items until the process ends.
+/// The task that claims batches and runs their items until the process ends.
 pub struct Engine {
     context: Arc<Context>,
     items: BTreeMap<ItemKey, ActiveItem>,
     outboxes: BTreeMap<usize, Outbox>,
+    /// Batches that a claim in flight is about.
     claiming: HashSet<BatchId>,
+    /// Earliest time of the next claim, for batches whose last claim failed.
     claim_not_before: HashMap<BatchId, Millis>,
-    /// Nodes that held a lease when this one tried to claim it, unknown to the index.
+    /// For each batch, the node that held its lease at this node's last claim although the index did not
+    /// name it.
     unindexed_holders: HashMap<BatchId, NodeId>,
+    /// When this node last announced that a batch is closed.
     closed_announced_at: HashMap<BatchId, Millis>,
     heartbeats: Heartbeats,
     has_released: bool,
-    /// Batches whose release is to be told once it is written.
+    /// Batches whose release is announced to all nodes once it is written to their partitions.
     released_batches: Vec<BatchId>,
     is_release_announced: bool,
     breakers: HashMap<BackendId, CircuitBreaker>,
@@ -83,7 +90,7 @@
     item_lengths: ItemLengths,
     carried_over: HashMap<BatchId, CarriedOver>,
     paused_starts: BTreeMap<usize, PausedStarts>,
-    /// Items of which it was told that they are barred.
+    /// Items that were already logged as barred.
     logged_barred: HashSet<ItemKey>,
     run_messages: UnboundedReceiver<RunMessage>,
     run_message_sender: UnboundedSender<RunMessage>,
@@ -93,7 +100,7 @@
     pace: WorkPace,
 }
 
-/// A helper task ended.
+/// Result of a task that the engine started for an append or a claim.
 enum TaskEnd {
     Append {
         partition: usize,
@@ -107,7 +114,7 @@
 }
 
 impl Engine {
-    /// An engine without work.
+    /// Creates an engine that has no items yet.
     pub fn new(context: Arc<Context>) -> Self {
         let (run_message_sender, run_messages) = mpsc::unbounded_channel();
         let (task_end_sender, task_ends) = mpsc::unbounded_channel();
@@ -138,14 +145,14 @@
         }
     }
 
-    /// Works until the process ends.
+    /// Runs the engine's loop until the process ends.
     pub async fn run(mut self) {
         let context = self.context.clone();
         loop {
             let pause = self.pause();
             tokio::select! {
                 Some(message) = self.run_messages.recv() => self.handle_run_message(message),
-                Some(task_ends) = self.task_ends.recv() => self.handle_task_end(task_ends),
+                Some(end) = self.task_ends.recv() => self.handle_task_end(end),
                 () = context.work.notified() => self.needs_plan = true,
                 () = tokio::time::sleep(pause) => self.needs_plan = true,
             }
@@ -187,7 +194,7 @@
         }
     }
 
-    /// Whether an end was written down long enough ago to be seen, if it had counted.
+    /// Whether the item's outcome was written so long ago that the log would show it if it counted.
     fn is_end_overdue(&self, item: &ActiveItem, confirmed: Option<Millis>) -> bool {
         let Phase::Finishing { since } = &item.phase else {
             return false;
@@ -196,14 +203,15 @@
             Some(outbox) => outbox.all_written_at(),
             None => Some(0),
         };
-        // It may have waited long to be written, while the log was away.
+        // The outcome may have waited long before it was written, while the log was unavailable. So the time
+        // limit starts when it was written.
         written.zip(confirmed).is_some_and(|(written, confirmed)| {
             confirmed > written.max(*since) + END_READ_TIMEOUT_MS
         })
     }
 
-    fn handle_task_end(&mut self, task_ends: TaskEnd) {
-        match task_ends {
+    fn handle_task_end(&mut self, end: TaskEnd) {
+        match end {
             TaskEnd::Claim { batch, outcome } => self.handle_claim_end(batch, outcome),
             TaskEnd::Append {
                 partition,
@@ -218,7 +226,7 @@
         }
     }
 
-    /// Drops items that the log shows as done, ended, or taken over by another node.
+    /// Drops items whose result is in the log, whose batch ended, or that another node took over.
     fn drop_settled_items(&mut self) {
         let items = self.items.iter();
         let gone: Vec<(ItemKey, &'static str)> = items
@@ -235,7 +243,7 @@
         }
     }
 
-    /// Why an item is not worked on any more; `None` if it is.
+    /// The reason to stop work on an item, as it is logged; `None` if the work goes on.
     fn reason_to_drop(&self, key: &ItemKey, item: &ActiveItem) -> Option<&'static str> {
         let inner = self.context.partitions.at(item.partition).lock();
         let confirmed = inner.confirmed_at();
@@ -258,7 +266,8 @@
     }
 }
 
-/// Events there of an item that this node may not work on yet.
+/// Number of output events of an item: those that this node holds if the item is active here, otherwise
+/// those in the log.
 fn event_count(active_item: Option<&ActiveItem>, state: &ItemState) -> u32 {
     active_item.map_or(state.events.len() as u32, |item| item.events)
 }
--- a/crates/gateway/src/engine/outbox.rs
+++ b/crates/gateway/src/engine/outbox.rs
@@ -1,6 +1,6 @@
-//! Records that wait to be appended to one partition. One append is under way at a time, so that
-//! records keep their order; an append without an answer is repeated as it is, since the fold takes
-//! each record once.
+//! Records that wait to be appended to one partition. Only one append is in flight at a time, so that records keep
+//! their order. A failed append is retried unchanged even if it may have reached the log, since the state that is
+//! built from the log accepts each record only once.
 
 use std::collections::VecDeque;
 
@@ -10,37 +10,37 @@
 use havenstage_rollout::record::BatchRecord;
 use havenstage_rollout::stored::Stored;
 
-/// Bytes that each record takes besides its own.
+/// Overhead of the log per record, in bytes.
 const RECORD_OVERHEAD: usize = 8;
-/// Pause before an append is repeated.
+/// Pause before a failed append is retried.
 const REPEAT_PAUSE_MS: Millis = 120;
 
-/// Limits of an append.
+/// Size limits of an append.
 #[derive(Debug, Clone, Copy)]
 pub struct AppendLimits {
-    /// Most bytes of a record.
+    /// Maximum size of one record of the log, in bytes. Larger records are split.
     pub record_bytes: usize,
-    /// Most bytes of a call.
+    /// Maximum size of one call to the log, in bytes.
     pub call_bytes: usize,
 }
 
-/// Waiting records of one partition.
+/// Queue of records to be appended to one partition.
 #[derive(Debug)]
 pub struct Outbox {
     limits: AppendLimits,
     waiting: VecDeque<Vec<Bytes>>,
     in_flight: Option<Vec<Bytes>>,
     not_before: Millis,
-    /// When the last append began.
+    /// When the last append began, by the node's clock; 0 before the first.
     pub last_append: Millis,
-    /// Whether a waiting record should not wait for more.
+    /// Whether a record should be appended soon instead of waiting for more records.
     pub is_urgent: bool,
-    /// When an append was last answered as done.
+    /// When an append last succeeded.
     written_at: Millis,
 }
 
 impl Outbox {
-    /// An empty outbox.
+    /// Creates an empty outbox.
     pub fn new(limits: AppendLimits) -> Self {
         Self {
             limits,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Adds a record; false if it is too large to be appended at all.
+    /// Adds a record. Returns false, and drops the record, if it is too large for a call to the log.
     pub fn push(&mut self, record: &BatchRecord) -> bool {
         let pieces = framing::split(&record.encode(), self.limits.record_bytes);
         let fits = size_of(&pieces) <= self.limits.call_bytes;
@@ -63,22 +63,23 @@
         fits
     }
 
-    /// Whether nothing waits and nothing is under way.
+    /// Whether no record waits and no append is in flight.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty() && self.in_flight.is_none()
     }
 
-    /// When all that was pushed so far was written; `None` while some of it is not.
+    /// When the last append succeeded, if all records added so far are written; `None` if some are not.
     pub fn all_written_at(&self) -> Option<Millis> {
         self.is_empty().then_some(self.written_at)
     }
 
-    /// Whether records wait and none is under way.
+    /// Whether an append may begin: records wait, none is in flight, and the pause after a failure is over.
     pub fn can_begin_append(&self, now: Millis) -> bool {
         !self.waiting.is_empty() && self.in_flight.is_none() && now >= self.not_before
     }
 
-    /// Takes as many records as fit in a call; they are under way until `finished`.
+    /// Takes as many records as fit in a call. They are in flight until
+    /// [`finish_append`](Self::finish_append).
     pub fn begin_append(&mut self, now: Millis) -> Vec<Bytes> {
         let mut call: Vec<Bytes> = Vec::new();
         let mut bytes = 0;
@@ -96,7 +97,7 @@
         call
     }
 
-    /// The append ended; after a failure the same records are the next to be appended.
+    /// Ends the append in flight. After a failure the same records are appended again, before all others.
     pub fn finish_append(&mut self, is_done: bool, now: Millis) {
         let Some(call) = self.in_flight.take() else {
             return;
--- a/crates/gateway/src/engine/paused_starts.rs
+++ b/crates/gateway/src/engine/paused_starts.rs
@@ -1,35 +1,36 @@
-//! Partitions whose items are not started, since what is known of them is too old.
+//! Pauses the start of items in partitions whose state was last confirmed too long ago: the log may hold the end
+//! of a batch that this node has not read.
 
 use havenstage_rollout::Millis;
 use log::{info, warn};
 
 use super::Engine;
 
-/// Time for which starts must be held back until it is told: longer than between two answers of the log
-/// where nothing is written.
-const TOLD_AFTER_MS: Millis = 1_500;
+/// Time for which starts must be paused before it is logged. It is longer than the time between two responses of
+/// the log while nothing is written.
+const LOG_AFTER_MS: Millis = 1_500;
 
-/// Since when starts are held back in a partition.
+/// A pause of the starts in a partition.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PausedStarts {
     since: Millis,
-    is_told: bool,
+    is_logged: bool,
 }
 
 impl Engine {
-    /// Whether nothing of a partition may be started. Tells once when this lasts, and once when it is
-    /// over.
+    /// Whether no item of a partition may be started. Logs a pause that lasts, if this node holds open batches
+    /// in the partition, and its end.
     pub(super) fn are_starts_paused(&mut self, partition: usize, now: Millis) -> bool {
         let view = self.context.partitions.at(partition);
         if self.context.may_start_work(view) {
             self.resume_starts(partition, now);
             return false;
         }
-        let held = self.paused_starts.entry(partition).or_insert(PausedStarts {
+        let paused = self.paused_starts.entry(partition).or_insert(PausedStarts {
             since: now,
-            is_told: false,
+            is_logged: false,
         });
-        if held.is_told || now.saturating_sub(held.since) < TOLD_AFTER_MS {
+        if paused.is_logged || now.saturating_sub(paused.since) < LOG_AFTER_MS {
             return true;
         }
         let inner = view.lock();
@@ -38,7 +39,7 @@
         let batches = own.count();
         drop(inner);
         if batches > 0 {
-            held.is_told = true;
+            paused.is_logged = true;
             warn!(event = "starts_held_back", partition = view.id.to_string().as_str(),
                 batches = batches, known_age_ms = self.context.known_age_ms(view),
                 is_read = view.is_current(now); "");
@@ -47,13 +48,13 @@
     }
 
     fn resume_starts(&mut self, partition: usize, now: Millis) {
-        let Some(held) = self.paused_starts.remove(&partition) else {
+        let Some(paused) = self.paused_starts.remove(&partition) else {
             return;
         };
-        if held.is_told {
+        if paused.is_logged {
             let view = self.context.partitions.at(partition);
             info!(event = "starts_go_on", partition = view.id.to_string().as_str(),
-                held_back_ms = now.saturating_sub(held.since); "");
+                held_back_ms = now.saturating_sub(paused.since); "");
         }
     }
 }
--- a/crates/gateway/src/engine/plan.rs
+++ b/crates/gateway/src/engine/plan.rs
@@ -1,4 +1,4 @@
-//! Gives waiting items their places.
+//! Decides on which back ends waiting items run, and moves running items to faster ones.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -17,7 +17,7 @@
 use super::{DEFAULT_GIVE_UP_AFTER_MS, Engine, event_count};
 use crate::metrics;
 
-/// Work of this node in one pool.
+/// Unfinished items of this node that one pool runs.
 #[derive(Default)]
 pub(super) struct PoolWork {
     pub(super) waiting: Vec<WaitingItem>,
@@ -25,7 +25,7 @@
 }
 
 impl Engine {
-    /// Gives waiting items places, and gives up those that are too late.
+    /// Starts waiting items on free slots, and gives up the items of batches that are too old.
     pub(super) fn plan(&mut self) {
         if self.has_released {
             return;
@@ -40,7 +40,8 @@
         self.paused_starts
             .retain(|partition, _| needed.contains(partition));
         for partition in needed {
-            // An end that is not read yet must not be in force when an item arrives.
+            // The state of the partition is too old: a batch may have been ended in the meantime, and no item of
+            // it may reach a back end once that end is in force.
             if self.are_starts_paused(partition, now) {
                 continue;
             }
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Whether this node runs the batch's items.
+    /// Whether the batch is open and this node holds its lease.
     pub(super) fn is_own(&self, batch: &BatchState) -> bool {
         !batch.is_closed() && batch.lease.is_held_by(&self.context.node)
     }
@@ -206,7 +207,8 @@
         }
     }
 
-    /// An item that is bound to a version which no back end has any more begins anew.
+    /// Restarts an item without its output if all its events must come from one version and no back end
+    /// serves that version any more.
     fn restart_if_version_is_gone(&mut self, item: &WaitingItem, pool: &PoolName, now: Millis) {
         let (Some(exact), Some(model)) = (item.exact_version, &item.model) else {
             return;
@@ -222,7 +224,7 @@
         }
     }
 
-    /// Lets an item go on at a faster back end, from the output that is there.
+    /// Moves an item to a faster back end, where it continues after the events that it has.
     fn relocate(&mut self, relocation: &Relocation) {
         let item = &relocation.item;
         let key = key_of(item);
@@ -232,7 +234,7 @@
         info!(event = "item_relocated", request = key.item.as_str(), batch = key.batch.as_str(),
             from = active_item.running_on().map_or("", BackendId::as_str), to = relocation.to.as_str(),
             events = active_item.events; "");
-        // Ends the run and resets its connection.
+        // Drops the task of the run, which ends the run and resets its connection.
         active_item.phase = Phase::Waiting;
         active_item.moves += 1;
         let partition = active_item.partition;
@@ -248,14 +250,15 @@
         if self.prepare_item(&key, now).is_none() {
             return;
         }
-        if is_first_start && self.reuse_earlier_output(&key, item) {
+        if is_first_start && self.reuse_output(&key, item) {
             return;
         }
         self.start(&key, backend, urgency(item));
     }
 }
 
-/// Tells of an item that is placed where the memory is expected to run out, for want of another place.
+/// Logs an item that is placed on a back end whose memory is expected to run out. This happens if no other back
+/// end has both a free slot and enough memory.
 fn log_if_memory_is_short(item: &WaitingItem, chosen: &Candidate) {
     let tokens = item.tokens();
     if chosen.memory.fits(tokens) {
@@ -278,7 +281,7 @@
     schedule::urgency(item.claim.rank, item.is_optional)
 }
 
-/// On whose behalf a batch's items run.
+/// The rank, claimant and maximum wait that the scheduler uses for a batch's items.
 fn scheduling_claim(batch: &BatchState, route: &Route, table: &RouteTable) -> Claim {
     let tenant = batch.tenant.as_ref();
     let claimant = tenant.map_or(route.name.as_str(), |tenant| tenant.as_str());
@@ -300,7 +303,7 @@
         .map_or(1, |pool| pool.tokens_per_event.max(1))
 }
 
-/// Version that made the first event there.
+/// The version that produced the first event of an item's output; `None` if there is no output.
 fn first_version(active_item: Option<&ActiveItem>, state: &ItemState) -> Option<Version> {
     match active_item {
         Some(active_item) => active_item.first_version,
--- a/crates/gateway/src/engine/reward.rs
+++ b/crates/gateway/src/engine/reward.rs
@@ -1,4 +1,4 @@
-//! The reward call of an item whose output is whole.
+//! Makes the reward call of an item whose output is whole.
 
 use std::sync::{Arc, OnceLock};
 use std::time::Duration;
@@ -17,27 +17,29 @@
 use crate::calls::{self, Call, CallOutcome};
 use crate::context::Context;
 
-/// Time a reward call has.
+/// Time within which one attempt of a reward call must be answered.
 const REWARD_DEADLINE: Duration = Duration::from_millis(2_000);
-/// Pause after a reward call that every application turned away: about as long as one works on a call.
+/// Pause after a reward call that every application rejected: about as long as an application works on one call.
 const REJECTED_PAUSE: Duration = Duration::from_millis(50);
-/// Share of its route's objective within which a reward call is answered that has not waited in a queue.
+/// Share of the route's latency objective within which a reward call is answered if it did not wait in a queue of
+/// the application.
 const UNQUEUED_SHARE: f64 = 0.5;
-/// Pause before a reward call is made again.
+/// Pause before a failed reward call is retried.
 const REWARD_RETRY_PAUSE: Duration = Duration::from_millis(20);
-/// Pause before a reward call that is barred is looked at again: the bar may be lifted.
+/// Pause before a barred reward call is tried again, since its bar may be lifted meanwhile.
 const REWARD_BARRED_PAUSE: Duration = Duration::from_millis(500);
 
 /// How a reward call ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ScoreEnd {
-    /// It was answered with this signature.
+    /// An application answered with this signature.
     Score(String),
-    /// Back ends failed at it as often as its route allows.
+    /// As many attempts failed with a server error as the route allows.
     AttemptsUsed,
 }
 
-/// Makes the reward call of an item until it is answered or has failed too often.
+/// Makes the reward call of an item until it is answered or has failed as often as its route allows. Sends the
+/// result to the engine.
 pub async fn score(
     context: Arc<Context>,
     key: ItemKey,
@@ -53,15 +55,15 @@
     });
 }
 
-/// What one try of a reward call came to.
+/// Result of one attempt of a reward call.
 enum AttemptOutcome {
-    /// It was answered with this signature.
+    /// An application answered with this signature.
     Scored(String),
-    /// It was not made: its route changed while it waited for its turn.
+    /// The call was not made: the routes changed while it waited for its turn.
     RoutesChanged,
-    /// It may be made again after a pause.
+    /// The call may be retried after a pause.
     Retry { pause: Duration },
-    /// Back ends failed at it as often as its route allows.
+    /// As many attempts failed with a server error as the route allows.
     AttemptsUsed,
 }
 
@@ -72,7 +74,7 @@
 ) -> ScoreEnd {
     let mut failures = 0;
     loop {
-        // A batch's end holds for reward calls as it does for items.
+        // Once the end of a batch is in force, no reward call may be made for it, as no item may be run.
         context.until_work_may_start(batch).await;
         match attempt_call(context, batch, reward, &mut failures).await {
             AttemptOutcome::Scored(score) => return ScoreEnd::Score(score),
@@ -83,7 +85,7 @@
     }
 }
 
-/// Makes the call once, in its turn.
+/// Waits for the call's turn and makes it once.
 async fn attempt_call(
     context: &Arc<Context>,
     batch: &BatchId,
@@ -108,14 +110,15 @@
     }
     let Some(call) = reward_call(context, batch, reward) else {
         drop(turn);
-        // It can never be made; its item is given up when its time is over.
+        // No valid request can be made from this reward call. The item is given up once its batch is too old.
         return std::future::pending().await;
     };
     let executed = calls::execute(context, route, call).await;
     *failures += executed.server_errors;
     let end = pace_outcome(route, &executed.outcome, began.elapsed());
     if end == CallEnd::Rejected {
-        // Its turn is over only then: else the next call would find the same full pool a millisecond later.
+        // The turn ends only after the pause. Otherwise the next call would find the same full pool a
+        // millisecond later.
         tokio::time::sleep(REJECTED_PAUSE).await;
     }
     turn.ended(end);
@@ -130,7 +133,7 @@
     }
 }
 
-/// The signature of an answer that tells success.
+/// The signature in a successful response; `None` if the call failed or the response has no signature.
 fn signature_of(context: &Context, outcome: &CallOutcome) -> Option<String> {
     let CallOutcome::Answered(answer) = outcome else {
         return None;
@@ -150,13 +153,13 @@
     }
 }
 
-/// Whether these are still the routes in force.
+/// Whether these routes are still the current ones.
 fn are_routes_current(context: &Context, routes: Option<&RouteTable>) -> bool {
     let version = |table: &RouteTable| table.version();
     context.routes().as_deref().map(version) == routes.map(version)
 }
 
-/// What the end of a reward call says of the places of its pool.
+/// What the end of a reward call shows about free slots of its pool, for the concurrency limit of the pool.
 fn pace_outcome(route: &Route, outcome: &CallOutcome, took: Duration) -> CallEnd {
     let unqueued_limit = calls::share_of_objective(route, UNQUEUED_SHARE);
     match outcome {
--- a/crates/gateway/src/engine/run.rs
+++ b/crates/gateway/src/engine/run.rs
@@ -1,4 +1,4 @@
-//! One run of an item on a back end.
+//! One run of an item on a back end: sends the request and reads the stream of output events.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,72 +26,72 @@
 use crate::fingerprint;
 use crate::send;
 
-/// Longest time for the head of an answer.
+/// Maximum time until the head of a response arrives.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// Longest time without an event.
+/// Maximum time between two pieces of a response body.
 const EVENT_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// Events after which a run that breaks off is not held against its item: the back end ran it well for so
-/// long, and the next run goes on behind them.
+/// Number of events from which on a broken run is no evidence that its item crashes back ends: the back end
+/// ran the item well until then, and the next run continues after these events.
 const MIN_EVENTS_OF_HEALTHY_RUN: u32 = 3;
 
-/// An item of a batch.
+/// Identifies an item of a batch.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ItemKey {
-    /// Batch.
+    /// The batch that the item belongs to.
     pub batch: BatchId,
-    /// Item.
+    /// Id of the item, which is also the request id that back ends receive.
     pub item: ItemId,
 }
 
-/// What a run tells the engine.
+/// A message from the task of a run, or of the reward call after it, to the engine.
 #[derive(Debug)]
 pub struct RunMessage {
-    /// The item.
+    /// The item that the run is for.
     pub key: ItemKey,
-    /// The run.
+    /// The run; the engine ignores messages of runs that are not the item's current one.
     pub run: RunId,
-    /// What happened.
+    /// The event that the message reports.
     pub update: RunUpdate,
 }
 
-/// What happened in a run.
+/// What a run or reward call reports.
 #[derive(Debug)]
 pub enum RunUpdate {
-    /// The head of the answer came, so the back end is there.
+    /// The head of the response arrived, so the back end is reachable.
     Answered,
-    /// One more event.
+    /// One output event arrived.
     Event(OutputEvent),
-    /// The run ended.
+    /// The run ended, in this way.
     Ended(RunEnd),
-    /// The reward call ended.
+    /// The reward call ended, in this way.
     Scored(ScoreEnd),
 }
 
-/// How a run ended.
+/// How a run ended. Decides whether the item is finished, and what the back end's circuit breaker records.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RunEnd {
-    /// The output is whole.
+    /// The back end sent the whole output.
     Whole,
-    /// The back end did not run it.
+    /// The back end states that it did not run the item.
     NotRun,
-    /// What was known of the batch had become too old before the request could be written.
+    /// The request was not written: by the time it could be, this node's knowledge of the batch was too old.
     TooLate,
-    /// The back end could not be reached.
+    /// The back end could not be reached, so the request was not sent.
     Unreachable,
-    /// The stream broke off, fell silent, or brought something else.
+    /// The response broke off, fell silent, or is not a valid stream of this item.
     Broken,
-    /// Nothing came any more, and the item goes on elsewhere.
+    /// The stall detector ended the run because the back end fell silent; the item continues on another one.
     Stalled,
-    /// The back end failed.
+    /// The back end answered with an internal server error.
     Failed,
-    /// The back end said that it can never be done.
+    /// The item can never run: the back end says so, or no valid request can be made from it.
     Impossible,
-    /// The back end's weights are not of a version that is allowed.
+    /// The back end's weights have this version, which the item does not allow.
     WrongVersion(Version),
 }
 
 impl RunEnd {
-    /// Name in logs and metrics.
+    /// Returns the name used in logs and metrics.
     pub fn name(&self) -> &'static str {
         match self {
             Self::Whole => "whole",
@@ -107,52 +107,52 @@
     }
 }
 
-/// Which versions may make an item's events.
+/// Which weight versions may produce an item's events.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct VersionRule {
-    /// The oldest one.
+    /// The oldest version allowed.
     pub minimum: Version,
     /// Whether all events must come from one version.
     pub is_single: bool,
-    /// The version of the events already there.
+    /// The version that produced the first event of the output so far; `None` if there is no output.
     pub first_version: Option<Version>,
 }
 
 impl VersionRule {
-    /// Whether a version may make the next event; `before` made the last one of this run.
+    /// Whether a version may produce the next event; `previous` produced the last event of this run.
     fn allows(&self, version: Version, previous: Option<Version>) -> bool {
         let bound = previous.or(self.first_version).filter(|_| self.is_single);
         version >= self.minimum && bound.is_none_or(|bound| bound == version)
     }
 }
 
-/// A run to be made.
+/// Everything that a run needs.
 pub struct RunParameters {
-    /// The item.
+    /// The item to run.
     pub key: ItemKey,
-    /// The run.
+    /// Id of the run, which marks its messages and log records.
     pub run: RunId,
-    /// What to send.
+    /// The request: path, headers and body.
     pub spec: Arc<Item>,
     /// Host that selects the route.
     pub host: String,
     /// The tenant that the batch belongs to.
     pub tenant: Option<TenantName>,
-    /// Events already there.
+    /// Number of events that the item already has; the back end continues after them.
     pub resumed_from: u32,
-    /// Versions that may make an event.
+    /// Weight versions that may produce an event.
     pub versions: VersionRule,
-    /// When the item may be given up.
+    /// When the item is given up; sent to the back end as the time left.
     pub deadline: Instant,
     /// Time after which nothing of the request may be written: the batch may have been ended.
     pub write_by: Instant,
-    /// How urgent the back end is to take it.
+    /// Urgency that is sent to the back end; 0 is the most urgent.
     pub urgency: u8,
-    /// Told when the run counts as stalled.
+    /// Notified by the engine when the run counts as stalled.
     pub stall_signal: Arc<Notify>,
 }
 
-/// Makes a run and tells the engine of each event and of the end.
+/// Runs an item and sends each event and the end of the run to the engine.
 pub async fn run_item(
     context: Arc<Context>,
     backend: ChosenBackend,
@@ -175,7 +175,7 @@
     });
 }
 
-/// Notes what the end of a run says of whether its item ends back ends.
+/// Reports to the crash guard what the end of a run shows about whether its item crashes back ends.
 async fn record_crash_evidence(
     context: &Arc<Context>,
     backend: &ChosenBackend,
@@ -208,7 +208,7 @@
     }
 }
 
-/// Makes a run; `events` counts what it brings.
+/// Sends the request and reads the response. Counts the events that arrive in `events`.
 async fn send_and_read(
     context: &Context,
     backend: &ChosenBackend,
@@ -224,8 +224,8 @@
         .patient_for(send::HEAD_PATIENCE)
         .ended_when_silent();
     let answer = match backend.link.send_as(request.clone(), sending).await {
-        // Closed with a reset, which cancels what may have begun; the rest of the connections is closed
-        // too, so that this goes over a new one.
+        // The silent connection was closed with a reset, which cancels a run that may have begun. The other
+        // connections to the back end are closed too, so the second attempt uses a new one.
         Err(LinkError::Silent) => {
             let again = backend.link.send_as(request, sending).await;
             again.map_err(|_| LinkError::Silent)
@@ -247,7 +247,7 @@
             .await
         }
         Err(end) => {
-            // Read to the end, so that the connection is kept.
+            // Reads the body to its end, so that the connection can be reused.
             let rest = answer.whole(MAX_REJECTION_BYTES);
             let _ = tokio::time::timeout(HEAD_TIMEOUT, rest).await;
             end
@@ -264,7 +264,7 @@
     });
 }
 
-/// Longest body of a refusal that is read.
+/// Maximum size of an error response's body that is read.
 const MAX_REJECTION_BYTES: usize = 64 * 1024;
 
 fn item_request(
@@ -306,8 +306,8 @@
     Some(request)
 }
 
-/// The version that the stream begins with, if it is told, or how the run ends. A stream that has
-/// nothing to add to what is there names no version.
+/// Checks the head of a response. Returns the version that the stream begins with, if the head names one; a
+/// stream that adds no event names none. Returns how the run ends if the response is not a valid stream.
 fn check_head(
     context: &Context,
     parameters: &RunParameters,
@@ -360,7 +360,8 @@
         let bytes = match tokio::time::timeout(EVENT_TIMEOUT, answer.next_bytes()).await {
             Ok(Ok(Some(bytes))) => bytes,
             Ok(Ok(None)) if is_framed => return RunEnd::Whole,
-            // An end that is not marked may be a break: a resumed run will tell.
+            // A body without a length or chunks has no marked end, so this may be a broken connection. A
+            // resumed run shows whether the output is whole.
             Ok(Ok(None)) => return RunEnd::Broken,
             Ok(Err(LinkError::Broken | _)) | Err(_) => return RunEnd::Broken,
         };
@@ -375,7 +376,7 @@
             version = event.version.or(version);
             let event_version = version.unwrap_or(0);
             if !parameters.versions.allows(event_version, previous) {
-                // Without a word of the version it is not known to be allowed.
+                // If the stream names no version, the event cannot be checked and the run counts as broken.
                 return version.map_or(RunEnd::Broken, RunEnd::WrongVersion);
             }
             let gap_ms = last_event.elapsed().as_secs_f64() * 1_000.0;
--- a/crates/gateway/src/engine/run_messages.rs
+++ b/crates/gateway/src/engine/run_messages.rs
@@ -1,4 +1,4 @@
-//! What runs and reward calls bring, and how an item ends.
+//! Handles the messages of runs and reward calls, and finishes items.
 
 use havenstage_rollout::Millis;
 use havenstage_rollout::circuit_breaker::CircuitBreaker;
@@ -28,7 +28,8 @@
         }
     }
 
-    /// Silence is counted from the head of the answer on. Whether the back end serves is not known before an event.
+    /// Records that the head of a response arrived: the run's silence is measured from here on. The circuit breaker
+    /// learns nothing yet, since only an output event shows that the back end serves the item.
     fn record_answer_head(&mut self, key: &ItemKey) {
         let now = self.context.now();
         let phase = self.items.get_mut(key).map(|item| &mut item.phase);
@@ -136,7 +137,8 @@
                     self.context.control_changed.notify_one();
                 }
             }
-            // Its breaker opened when it was told to end.
+            // A run that is too late says nothing about the back end. For a stalled run the failure was recorded
+            // when the run was told to end.
             RunEnd::TooLate | RunEnd::Stalled => {}
             RunEnd::Broken if made_progress => {
                 let open_ms = self.breaker(backend).record_cut_short(now);
@@ -151,7 +153,8 @@
         }
     }
 
-    /// A run that began at `began` failed without progress, or its back end is silent now.
+    /// Records a failure of a back end: a run that began at `began` failed without progress, or the back end is
+    /// silent now.
     pub(super) fn record_backend_failure(
         &mut self,
         backend: &BackendId,
@@ -276,7 +279,7 @@
     }
 }
 
-/// Tells that a breaker opened, if it did.
+/// Logs that a circuit breaker opened; `open_ms` is `None` if it did not.
 fn log_breaker_opened(backend: &BackendId, cause: &'static str, open_ms: Option<Millis>) {
     let Some(open_ms) = open_ms else { return };
     metrics::breaker_opened(cause);
--- a/crates/gateway/src/engine/stalls.rs
+++ b/crates/gateway/src/engine/stalls.rs
@@ -1,4 +1,4 @@
-//! Ends runs that are stalled, so that their items go on elsewhere.
+//! Ends stalled runs, so that their items continue on other back ends.
 
 use havenstage_rollout::Millis;
 use havenstage_rollout::stall::{NodeState, Stall, StallDetector, WatchedRun};
@@ -10,10 +10,10 @@
 use super::run::{ItemKey, RunEnd};
 use crate::metrics;
 
-/// Time between two looks at the runs under way.
+/// Time between two checks of the runs in flight.
 const CHECK_INTERVAL_MS: Millis = 100;
 
-/// When the runs under way were last looked at, and what is heard of their back ends.
+/// The stall detector, and when the runs in flight were last checked.
 #[derive(Debug, Default)]
 pub(super) struct StallWatch {
     pub(super) detector: StallDetector,
@@ -21,7 +21,7 @@
 }
 
 impl Engine {
-    /// Ends the runs that are stalled, when it is time to look again.
+    /// Ends the runs that are stalled, if the next check is due.
     pub(super) fn end_stalled_runs(&mut self) {
         let now = self.context.now();
         if now.saturating_sub(self.stalls.checked_at) < CHECK_INTERVAL_MS {
@@ -67,7 +67,8 @@
         }
     }
 
-    /// The run tells its end itself, once it is known whether the back end ended under it.
+    /// Tells a run to end. The task of the run sends the end to the engine itself, once it has checked whether the
+    /// back end crashed during the run.
     fn end_stalled_run(&mut self, key: &ItemKey, stall: &Stall) {
         let Some(item) = self.items.get_mut(key) else {
             return;
--- a/crates/gateway/src/engine/start.rs
+++ b/crates/gateway/src/engine/start.rs
@@ -1,4 +1,4 @@
-//! Starts runs of items, with the output that is kept of them.
+//! Starts runs of items, which continue after the output that an item already has.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 use super::{DEFAULT_GIVE_UP_AFTER_MS, Engine};
 use crate::metrics;
 
-/// What a run needs to know of its batch.
+/// Properties of a batch that a run of one of its items needs.
 pub(super) struct BatchParameters {
     host: String,
     tenant: Option<TenantName>,
@@ -90,7 +90,8 @@
             .entry(backend_id.clone())
             .or_default()
             .record_start(now);
-        // Nothing is started of a partition that was never read to its end.
+        // The age is unknown only for a partition that was never read to its end, and no item of such a
+        // partition is started.
         if let Some(known_age_ms) = known_age_ms {
             metrics::run_started(known_age_ms);
         }
@@ -101,7 +102,9 @@
             known_age_ms = known_age_ms; "");
     }
 
-    /// Makes the item one that this node works on, with the output that is kept of it.
+    /// Adds the item to the active items, with the output that the log holds, if it is not one of them yet.
+    /// Returns what a run needs of the batch; `None` if the state of the partition lacks the batch, the item, or
+    /// the item's request.
     pub(super) fn prepare_item(&mut self, key: &ItemKey, now: Millis) -> Option<BatchParameters> {
         let index = self.context.partitions.index_of(&key.batch);
         let inner = self.context.partitions.at(index).lock();
@@ -146,7 +149,7 @@
         route.is_some_and(|route| route.single_version)
     }
 
-    /// Drops the output of an item whose version no back end has any more.
+    /// Drops the output of an item because no back end serves the version that produced it any more.
     pub(super) fn restart(&mut self, key: &ItemKey) {
         let Some(item) = self.items.get_mut(key) else {
             return;
@@ -162,13 +165,13 @@
         self.queue_record(partition, &record);
     }
 
-    /// Takes over output that an earlier batch kept of the same item.
-    pub(super) fn adopt_output(&mut self, key: &ItemKey, earlier: Vec<OutputEvent>) {
+    /// Uses output of the same item in another batch as the output of a run of this item.
+    pub(super) fn adopt_output(&mut self, key: &ItemKey, reusable: Vec<OutputEvent>) {
         let Some(item) = self.items.get_mut(key) else {
             return;
         };
         item.begin_run();
-        for event in earlier {
+        for event in reusable {
             item.add_event(event);
         }
         let partition = item.partition;
--- a/crates/gateway/tests/claims.rs
+++ b/crates/gateway/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Batches and streams that compete for engines: the more urgent go first, and engines are told.
+//! Batches and streams that compete for engines: the more urgent ones run first, and engines receive their urgency.
 
 mod support;
 
@@ -12,33 +12,33 @@
 use support::caller::{call, send, submit, submit_to};
 use support::deployment::{Deployment, TestNode, routing, wait_until};
 
-const FLOOD: usize = 40;
-const URGENT: usize = 6;
+const LARGE_BATCH_ITEMS: usize = 40;
+const URGENT_ITEMS: usize = 6;
 
-/// One engine with eight places whose items take half a second, and a route that is more urgent than the others.
-async fn one_engine() -> (Deployment, TestNode) {
+/// One engine with eight slots whose items take half a second, and one route that is more urgent than the others.
+async fn start_with_one_engine() -> (Deployment, TestNode) {
     let deployment = Deployment::start(1, 0).await;
     let mut config = routing(2);
     for route in &mut config.routes {
         route.priority = if route.name == "single" { 0 } else { 2 };
     }
-    write(&deployment, config);
+    write_routing(&deployment, config);
     deployment.engines[0].behave(|behaviour| {
         behaviour.event_pause = Duration::from_millis(125);
         behaviour.events = 4;
     });
     let node = deployment.node("a").await;
-    knows_routes(&node, 2).await;
+    wait_for_routes(&node, 2).await;
     (deployment, node)
 }
 
-fn write(deployment: &Deployment, config: havenstage_rollout::route::RoutingConfig) {
+fn write_routing(deployment: &Deployment, config: havenstage_rollout::route::RoutingConfig) {
     deployment
         .log
         .write_operators(DirectoryEntry::Routing(config));
 }
 
-async fn knows_routes(node: &TestNode, version: u64) {
+async fn wait_for_routes(node: &TestNode, version: u64) {
     wait_until("the node knows the routes", || {
         let table = node.context().routes();
         table.is_some_and(|table| table.version() == version)
@@ -52,34 +52,38 @@
 }
 
 #[tokio::test]
-async fn an_urgent_batch_does_not_wait_behind_a_flood() {
-    let (deployment, node) = one_engine().await;
+async fn an_urgent_batch_does_not_wait_behind_a_large_one() {
+    let (deployment, node) = start_with_one_engine().await;
     let engine = &deployment.engines[0];
     assert_eq!(
-        submit(node.callers, "flood", &items("flood", FLOOD)).await,
+        submit(node.callers, "flood", &items("flood", LARGE_BATCH_ITEMS)).await,
         202
     );
-    wait_until("all places are taken", || engine.seen().len() >= 8).await;
-    let urgent = items("urgent", URGENT);
+    wait_until("all slots are taken", || engine.seen().len() >= 8).await;
+    let urgent = items("urgent", URGENT_ITEMS);
     let path = "/batches/single/b";
     assert_eq!(submit_to(node.callers, path, "urgent", &urgent).await, 202);
-    wait_until("the urgent ones run", || {
+    wait_until("the urgent items run", || {
         let seen = engine.seen();
         seen.iter()
             .filter(|seen| seen.path.contains("urgent"))
             .count()
-            == URGENT
+            == URGENT_ITEMS
     })
     .await;
     let seen = engine.seen();
     let last_urgent = seen.iter().rposition(|seen| seen.path.contains("urgent"));
     let before = &seen[..last_urgent.unwrap()];
-    let flood = before
+    let less_urgent = before
         .iter()
         .filter(|seen| seen.path.contains("flood"))
         .count();
-    // Eight ran when the urgent ones came, and as many may have taken their places by the time that they were read.
-    assert!(flood <= 16, "{flood} of {FLOOD} went before");
+    // Eight items ran when the urgent batch was submitted. Eight more may have taken their slots before the node read
+    // the urgent batch.
+    assert!(
+        less_urgent <= 16,
+        "{less_urgent} of {LARGE_BATCH_ITEMS} less urgent items ran first"
+    );
     let urgency = |item: &str| {
         let seen = seen.iter().find(|seen| seen.path.contains(item)).unwrap();
         seen.header("x-urgency").unwrap().to_owned()
@@ -91,14 +95,14 @@
 }
 
 #[tokio::test]
-async fn a_stream_tells_engines_its_callers_rank() {
-    let (deployment, node) = one_engine().await;
+async fn a_stream_request_carries_the_urgency_of_its_caller() {
+    let (deployment, node) = start_with_one_engine().await;
     let urgency = || {
         let seen = deployment.engines[0].seen().pop().unwrap();
         seen.header("x-urgency").unwrap().to_owned()
     };
     assert_eq!(call(node.callers, "s1", "/streams/path").await.status, 200);
-    assert_eq!(urgency(), "4", "that of its route");
+    assert_eq!(urgency(), "4", "urgency of its route");
     let mut config = routing(3);
     config.tenants = vec![Tenant {
         name: TenantName::from("first"),
@@ -106,8 +110,8 @@
         priority: Some(1),
         residency: Residency::anywhere(),
     }];
-    write(&deployment, config);
-    knows_routes(&node, 3).await;
+    write_routing(&deployment, config);
+    wait_for_routes(&node, 3).await;
     let headers = [("x-id", "s2"), ("x-deadline", "5000"), ("x-key", "key")];
     let answer = send(
         node.callers,
@@ -118,5 +122,5 @@
     )
     .await;
     assert_eq!(answer.unwrap().status, 200);
-    assert_eq!(urgency(), "2", "that of its tenant");
+    assert_eq!(urgency(), "2", "urgency of its tenant");
 }
--- a/crates/gateway/tests/knowledge_age.rs
+++ b/crates/gateway/tests/knowledge_age.rs
@@ -1,4 +1,5 @@
-//! Up to which age of what is known of a batch work for it is started and written.
+//! How old a node's knowledge of a batch may be when it starts work for the batch and writes requests. A node that
+//! cannot read the log must stop both before the end of the batch, which it may have missed, is in force.
 
 mod support;
 
@@ -11,14 +12,14 @@
 use support::dialect::write_batch;
 use support::log::LogFaults;
 
-/// Share of the time after which an end is in force up to which work is started.
+/// Share of the time until a batch end is in force for which a node without news of the log starts work.
 const START_SHARE: f64 = 2.0 / 3.0;
-/// The same up to which requests are written.
+/// Share of that time for which it writes requests.
 const WRITE_SHARE: f64 = 0.85;
-/// Time that a request may be on its way, below the difference of both (550 ms).
-const ON_ITS_WAY: Duration = Duration::from_millis(300);
+/// Maximum time that a request may take to arrive; it must be below the difference of both shares (550 ms).
+const MAX_TRANSIT: Duration = Duration::from_millis(300);
 
-fn share_of_in_force(node: &TestNode, share: f64) -> Duration {
+fn share_of_end_delay(node: &TestNode, share: f64) -> Duration {
     Duration::from_millis(node.context().settings.bounds.end_in_force_ms).mul_f64(share)
 }
 
@@ -29,10 +30,10 @@
     });
 }
 
-/// Work that was started in time may wait for a connection or for the processor, and must not be written
-/// much later.
+/// Work that was started in time may wait for a connection or for the processor. Its request must not be written
+/// after its share of the time.
 #[tokio::test]
-async fn nothing_is_written_after_its_share_of_the_time() {
+async fn no_request_is_written_after_its_share_of_the_time() {
     let deployment = Deployment::start(0, 0).await;
     let node = deployment.node("a").await;
     let body = write_batch(1, &[("item", "g")], false);
@@ -40,7 +41,7 @@
     let write_by = || node.context().write_by(&"batch".into());
     wait_until("the batch is known", || write_by().is_some()).await;
     stop_reading(&node);
-    let latest = Instant::now() + share_of_in_force(&node, WRITE_SHARE);
+    let latest = Instant::now() + share_of_end_delay(&node, WRITE_SHARE);
     tokio::time::sleep(Duration::from_millis(300)).await;
     let until = write_by().expect("what is known is fresh enough");
     assert!(until <= latest, "{:?} too late", until - latest);
@@ -62,21 +63,21 @@
     .await;
     stop_reading(&node);
     let stopped = Instant::now();
-    tokio::time::sleep(share_of_in_force(&node, 1.5)).await;
+    tokio::time::sleep(share_of_end_delay(&node, 1.5)).await;
     let last = application.seen().last().map(|seen| seen.at).unwrap();
-    let latest = share_of_in_force(&node, START_SHARE) + ON_ITS_WAY;
+    let latest = share_of_end_delay(&node, START_SHARE) + MAX_TRANSIT;
     assert!(last - stopped <= latest, "{:?}", last - stopped);
 }
 
-/// A call that waits to be sent again was let through before the process stood still; what is known of
-/// its batch is looked at again at the send itself.
+/// A reward call that waits for a retry passed the age check before the process was suspended. The age must be
+/// checked again when the call is sent.
 #[tokio::test]
-async fn a_call_that_waited_while_the_process_stood_still_is_not_written_too_late() {
+async fn a_call_that_waits_while_the_process_is_suspended_is_not_written_too_late() {
     const ITEMS: usize = 12;
     let deployment = Deployment::start(1, 1).await;
     let node = deployment.node("a").await;
     let application = &deployment.applications[0];
-    // Each is sent again after a pause, so that at any moment most of them are in one.
+    // Each call is retried after a pause, so at any moment most calls are in a pause.
     application.behave(|told| told.call = CallBehaviour::NotRun);
     let names: Vec<String> = (0..ITEMS).map(|at| format!("item-{at}")).collect();
     let items: Vec<(&str, &str)> = names.iter().map(|name| (name.as_str(), "g")).collect();
@@ -88,15 +89,15 @@
     .await;
     stop_reading(&node);
     let stopped = Instant::now();
-    // Calls are still started, and have more time left than the process stands still.
-    tokio::time::sleep(share_of_in_force(&node, START_SHARE / 2.0)).await;
+    // Calls are still started at this time, and their deadline is later than the end of the suspension.
+    tokio::time::sleep(share_of_end_delay(&node, START_SHARE / 2.0)).await;
     let seen_before = application.seen().len();
     tokio::time::sleep(Duration::from_millis(100)).await;
     assert!(application.seen().len() > seen_before, "calls are made");
-    let latest = stopped + share_of_in_force(&node, WRITE_SHARE);
-    let stands_still = latest + ON_ITS_WAY - Instant::now();
-    node.hold(stands_still).await;
-    tokio::time::sleep(stands_still + ON_ITS_WAY).await;
+    let latest = stopped + share_of_end_delay(&node, WRITE_SHARE);
+    let suspension = latest + MAX_TRANSIT - Instant::now();
+    node.hold(suspension).await;
+    tokio::time::sleep(suspension + MAX_TRANSIT).await;
     let last = application.seen().last().map(|seen| seen.at).unwrap();
     assert!(last < latest, "{:?} too late", last - latest);
 }
--- a/crates/gateway/tests/places.rs
+++ b/crates/gateway/tests/placement.rs
@@ -1,5 +1,5 @@
-//! Where requests may go: evacuated zones get nothing, regions that are not allowed neither, and cold back ends as
-//! much as they bear.
+//! Which back ends may receive requests: none in evacuated zones, none in regions that a route does not allow, and
+//! cold back ends only at a limited rate.
 
 mod support;
 
@@ -21,7 +21,7 @@
 use support::dialect::write_batch;
 use support::log::NodeLog;
 
-const COLD: ColdLimit = ColdLimit {
+const COLD_LIMIT: ColdLimit = ColdLimit {
     duration_ms: 2_500,
     requests_per_s: 8.0,
 };
@@ -34,18 +34,18 @@
     entry(backend, record)
 }
 
-fn evacuation(is_asked: bool) -> DirectoryEntry {
+fn evacuation(is_evacuated: bool) -> DirectoryEntry {
     DirectoryEntry::Evacuation {
         zone: ZoneName::from("other"),
-        is_asked,
+        is_asked: is_evacuated,
     }
 }
 
-async fn set_evacuated(deployment: &Deployment, node: &TestNode, is_asked: bool) {
-    deployment.log.write_operators(evacuation(is_asked));
-    wait_until("the node knows of it", || {
+async fn set_evacuated(deployment: &Deployment, node: &TestNode, is_evacuated: bool) {
+    deployment.log.write_operators(evacuation(is_evacuated));
+    wait_until("the node knows of the change", || {
         let backends = node.context().backends.lock();
-        backends.list.evacuated().is_empty() != is_asked
+        backends.list.evacuated().is_empty() != is_evacuated
     })
     .await;
 }
@@ -57,7 +57,7 @@
     }
 }
 
-/// Has a batch run whole, with its reward calls.
+/// Submits a batch with reward calls and waits for all its results.
 async fn run_batch(node: &TestNode) {
     let items: Vec<String> = (0..8).map(|at| format!("i{at}")).collect();
     let items: Vec<(&str, &str)> = items.iter().map(|item| (item.as_str(), "g")).collect();
@@ -89,7 +89,7 @@
     deployment
         .log
         .write_backends(listed(other, APPLICATIONS, true));
-    wait_until("the node knows that the other one leaves", || {
+    wait_until("the node knows that the other application leaves", || {
         let backends = node.context().backends.lock();
         backends.list.ready_in(&APPLICATIONS.into()).count() == 1
     })
@@ -98,27 +98,27 @@
     assert_eq!(application.seen().len(), 10);
 }
 
-/// A listing shows the evacuations in force only: one that was taken back meanwhile is not in it.
+/// The listing that a starting node reads shows the evacuations in force, not those that were revoked.
 #[tokio::test]
 async fn a_node_that_starts_knows_of_an_evacuation() {
     let deployment = Deployment::start(1, 1).await;
     deployment.log.write_operators(evacuation(true));
     let node = deployment.node("a").await;
-    wait_until("the node knows of it", || {
+    wait_until("the node knows of the evacuation", || {
         let backends = node.context().backends.lock();
         !backends.list.evacuated().is_empty()
     })
     .await;
 }
 
-fn with(change: impl FnOnce(&mut RoutingConfig)) -> DirectoryEntry {
+fn routing_with(change: impl FnOnce(&mut RoutingConfig)) -> DirectoryEntry {
     let mut config = routing(2);
     change(&mut config);
     DirectoryEntry::Routing(config)
 }
 
 fn restricted_to(region: &'static str) -> DirectoryEntry {
-    with(|config| {
+    routing_with(|config| {
         for route in &mut config.routes {
             route.residency = Residency::of([RegionName::from(region)]);
         }
@@ -165,12 +165,12 @@
     assert!(!node.context().holds(&"batch".into()));
     assert_eq!(deployment.engines[0].seen().len(), 0);
     let answer = call(node.callers, "c", "/calls/path").await;
-    assert_eq!(answer.status, 503, "no application stands in that region");
+    assert_eq!(answer.status, 503, "no application is in an allowed region");
 }
 
-fn cold(backend: &Arc<StandInBackend>) -> DirectoryEntry {
+fn cold_entry(backend: &Arc<StandInBackend>) -> DirectoryEntry {
     let record = BackendRecord {
-        cold_left_ms: COLD.duration_ms,
+        cold_left_ms: COLD_LIMIT.duration_ms,
         ..record(backend, ENGINES)
     };
     entry(backend, record)
@@ -180,20 +180,20 @@
 async fn a_cold_engine_gets_half_of_its_rate_until_it_is_warm() {
     let deployment = Deployment::start(1, 0).await;
     let engine = &deployment.engines[0];
-    deployment.log.write_operators(with(|config| {
+    deployment.log.write_operators(routing_with(|config| {
         for pool in &mut config.pools {
-            pool.cold_limit = Some(COLD);
+            pool.cold_limit = Some(COLD_LIMIT);
         }
     }));
-    deployment.log.write_backends(cold(engine));
+    deployment.log.write_backends(cold_entry(engine));
     let began = Instant::now();
     let node = deployment.node("a").await;
     let items: Vec<String> = (0..40).map(|at| format!("i{at}")).collect();
     let items: Vec<(&str, &str)> = items.iter().map(|item| (item.as_str(), "g")).collect();
     let body = write_batch(1, &items, false);
     assert_eq!(submit(node.callers, "batch", &body).await, 202);
-    wait_until("some run", || engine.seen().len() >= 4).await;
-    // The next four may come a second after the first ones.
+    wait_until("the first items run", || engine.seen().len() >= 4).await;
+    // The next four items may start one second after the first four.
     while began.elapsed() < Duration::from_millis(900) {
         assert_eq!(engine.seen().len(), 4, "within a second");
         tokio::time::sleep(Duration::from_millis(20)).await;
--- a/crates/gateway/tests/stalled_runs.rs
+++ b/crates/gateway/tests/stalled_runs.rs
@@ -1,7 +1,7 @@
-//! Engines that go dark under streams, and what only looks like it.
+//! Engines that fall silent while they run items, and cases that only look like it.
 //!
-//! What happened: an engine fell silent with items on it, without a reset. Each of them was given up after two
-//! seconds, and a step that lasts as long as its longest item was late by that.
+//! The failure: an engine fell silent without resetting its connections. Each of its runs ended only after two
+//! seconds, and that delayed the whole training step, which lasts as long as its longest item.
 
 mod support;
 
@@ -24,31 +24,31 @@
 
 const ENGINE_COUNT: usize = 4;
 const ITEMS: usize = 16;
-/// Events of each item.
+/// Number of events of each item.
 const EVENTS: u32 = 60;
-/// Pause before each of them: that of a busy engine.
+/// Pause before each event, as a busy engine makes it.
 const EVENT_PAUSE: Duration = Duration::from_millis(50);
-/// Time after which items of a dark engine must go on elsewhere: half of what it took before, since a step has
-/// less than that to spare.
-const HAND_OVER: Duration = Duration::from_millis(1_000);
+/// Time within which the items of a silent engine must be sent to other engines: half of the two seconds after
+/// which runs without events ended before, since a step has less than that to spare.
+const MAX_HANDOVER: Duration = Duration::from_millis(1_000);
 
-/// A node and engines behind proxies, with a batch whose items run on all of them.
-struct Running {
+/// A node and engines behind proxies, with a batch whose items run on all engines.
+struct RunningBatch {
     deployment: Deployment,
     engines: Vec<Arc<StandInBackend>>,
     proxies: Vec<SilencingProxy>,
     node: TestNode,
 }
 
-impl Running {
+impl RunningBatch {
     async fn start() -> Self {
         let deployment = Deployment::start(0, 0).await;
         let (mut engines, mut proxies) = (Vec::new(), Vec::new());
         for at in 0..ENGINE_COUNT {
             let engine = StandInBackend::start(&format!("engine-{at}")).await;
-            engine.behave(|told| {
-                told.events = EVENTS;
-                told.event_pause = EVENT_PAUSE;
+            engine.behave(|behaviour| {
+                behaviour.events = EVENTS;
+                behaviour.event_pause = EVENT_PAUSE;
             });
             proxies.push(list_through_proxy(&deployment, &engine).await);
             engines.push(engine);
@@ -61,11 +61,11 @@
             proxies,
             node,
         };
-        running.hand_in_batch().await;
+        running.submit_batch().await;
         running
     }
 
-    async fn hand_in_batch(&self) {
+    async fn submit_batch(&self) {
         let names: Vec<String> = (0..ITEMS).map(|at| format!("i{at}")).collect();
         let items: Vec<(&str, &str)> = names.iter().map(|name| (name.as_str(), "g")).collect();
         let body = write_batch(1, &items, false);
@@ -75,18 +75,18 @@
             engines.all(|engine| !engine.runs().is_empty())
         })
         .await;
-        // Some events of each have come, so that the usual gap is known.
+        // Each item gets some events, so that the node knows the typical gap between two.
         tokio::time::sleep(10 * EVENT_PAUSE).await;
     }
 
-    /// Streams of an engine fall silent, and new ones bring nothing.
-    fn darken(&self, at: usize) {
-        self.engines[at].behave(|told| told.event_pause = Duration::from_secs(60));
-        assert!(self.proxies[at].opened() > 0, "streams come over it");
+    /// Makes the open connections to an engine silent; new streams get no events.
+    fn silence_engine(&self, at: usize) {
+        self.engines[at].behave(|behaviour| behaviour.event_pause = Duration::from_secs(60));
+        assert!(self.proxies[at].opened() > 0, "streams use the proxy");
         self.proxies[at].silence();
     }
 
-    /// How often items were sent to engines, of all that were sent more than once.
+    /// The items that were sent to engines more than once, and how often each was sent.
     fn sent_again(&self) -> HashMap<String, usize> {
         let mut sent: HashMap<String, usize> = HashMap::new();
         for (item, count) in self.engines.iter().flat_map(|engine| engine.runs()) {
@@ -96,8 +96,8 @@
         sent
     }
 
-    /// Each item is listed once, with each of its events once and in order.
-    async fn ends_whole(&self) {
+    /// Waits for all results and asserts that each item is listed once, with each of its events once and in order.
+    async fn assert_results_are_whole(&self) {
         let lines = wait_for_results(self.node.callers, "batch", ITEMS).await;
         assert_eq!(lines.len(), ITEMS, "{lines:?}");
         for line in &lines {
@@ -127,28 +127,32 @@
 }
 
 #[tokio::test]
-async fn items_of_an_engine_that_goes_dark_go_on_elsewhere_within_a_second() {
-    let running = Running::start().await;
-    let on_dark = running.engines[0].runs().len();
-    running.darken(0);
+async fn items_of_a_silent_engine_continue_elsewhere_within_a_second() {
+    let running = RunningBatch::start().await;
+    let on_silent = running.engines[0].runs().len();
+    running.silence_engine(0);
     let began = Instant::now();
     wait_until("its items were sent elsewhere", || {
-        running.sent_again().len() >= on_dark
+        running.sent_again().len() >= on_silent
     })
     .await;
-    println!("{on_dark} items sent again after {:?}", began.elapsed());
-    assert!(began.elapsed() < HAND_OVER, "{:?}", began.elapsed());
-    running.ends_whole().await;
-    assert_eq!(running.sent_again().len(), on_dark, "no others were moved");
+    println!("{on_silent} items sent again after {:?}", began.elapsed());
+    assert!(began.elapsed() < MAX_HANDOVER, "{:?}", began.elapsed());
+    running.assert_results_are_whole().await;
+    assert_eq!(
+        running.sent_again().len(),
+        on_silent,
+        "no item of another engine was moved"
+    );
 }
 
-/// One engine under an order to load weights: its streams pause for longer than a silence may last elsewhere.
+/// An engine that loads weights by order pauses its streams for longer than the silence timeout of other engines.
 #[tokio::test]
-async fn a_load_of_weights_that_pauses_streams_moves_nothing() {
+async fn items_stay_while_a_load_of_weights_pauses_their_streams() {
     const LOAD: Duration = Duration::from_millis(1_200);
-    let running = Running::start().await;
+    let running = RunningBatch::start().await;
     for engine in &running.engines {
-        engine.behave(|told| told.load_time = LOAD);
+        engine.behave(|behaviour| behaviour.load_time = LOAD);
     }
     running
         .deployment
@@ -162,42 +166,43 @@
         engines.any(|engine| !engine.orders().is_empty())
     })
     .await;
-    running.ends_whole().await;
+    running.assert_results_are_whole().await;
     assert_eq!(running.sent_again(), HashMap::new());
 }
 
-/// The node's processor stood still, or was kept busy: what came meanwhile waits to be read.
+/// The node's process did not run for a while, so that events that arrived in that time wait to be read.
 #[tokio::test]
-async fn a_node_that_stood_still_moves_nothing() {
-    let running = Running::start().await;
+async fn a_node_that_was_suspended_moves_no_items() {
+    let running = RunningBatch::start().await;
     running.node.hold(Duration::from_millis(1_500)).await;
-    running.ends_whole().await;
+    running.assert_results_are_whole().await;
     assert_eq!(running.sent_again(), HashMap::new());
 }
 
-/// The node's own link is cut: all engines are silent, and none is better than another.
+/// The node's own network link is cut. All engines are silent then, so moving items would not help.
 #[tokio::test]
-async fn a_node_that_is_cut_off_moves_nothing_at_once() {
-    let running = Running::start().await;
+async fn a_node_without_network_moves_no_items_at_once() {
+    let running = RunningBatch::start().await;
     running.proxies.iter().for_each(SilencingProxy::silence);
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     assert_eq!(running.sent_again(), HashMap::new());
-    running.ends_whole().await;
+    running.assert_results_are_whole().await;
 }
 
-/// An engine breaks each connection at once, and so looks empty.
+/// An engine that breaks each connection at once never has a running item, and so looks idle. It must not attract
+/// items because of that.
 #[tokio::test]
-async fn an_engine_that_breaks_each_connection_gets_no_more_than_probes() {
-    /// Places of an engine, all of which are taken before the first connection breaks.
-    const PLACES: usize = 8;
-    /// Probes that are due while the batch runs, for 250, 500, 1,000 and 2,000 ms.
+async fn an_engine_that_breaks_each_connection_gets_only_probes() {
+    /// Slots of an engine, all of which may be taken before the first connection breaks.
+    const SLOTS: usize = 8;
+    /// Number of probes while the batch runs, when the circuit breaker is open for 250, 500, 1,000 and 2,000 ms.
     const PROBES: usize = 4;
     const MANY_ITEMS: usize = 64;
     let deployment = Deployment::start(3, 0).await;
     for engine in &deployment.engines {
-        engine.behave(|told| told.event_pause = Duration::from_millis(100));
+        engine.behave(|behaviour| behaviour.event_pause = Duration::from_millis(100));
     }
-    deployment.engines[0].behave(|told| told.breaks_after = Some(0));
+    deployment.engines[0].behave(|behaviour| behaviour.breaks_after = Some(0));
     let node = deployment.node("a").await;
     let names: Vec<String> = (0..MANY_ITEMS).map(|at| format!("i{at}")).collect();
     let items: Vec<(&str, &str)> = names.iter().map(|name| (name.as_str(), "g")).collect();
@@ -206,5 +211,5 @@
     wait_for_results(node.callers, "batch", MANY_ITEMS).await;
     let sent: usize = deployment.engines[0].runs().into_values().sum();
     println!("{sent} items sent to the engine that breaks connections");
-    assert!(sent <= PLACES + PROBES, "{sent}");
+    assert!(sent <= SLOTS + PROBES, "{sent}");
 }
--- a/crates/gateway/tests/token_memory.rs
+++ b/crates/gateway/tests/token_memory.rs
@@ -1,4 +1,4 @@
-//! Engines whose memory in tokens is short, shared by the batches of several nodes.
+//! Engines with little memory for tokens, which the batches of several nodes share.
 
 mod support;
 
@@ -11,15 +11,15 @@
 use support::caller::{submit, submit_to, wait_for_results};
 use support::deployment::{Deployment, TestNode, routing, wait_until};
 
-/// Lines of a batch whose items have guesses of their lengths.
-fn batch(items: &[(&str, u32)]) -> String {
+/// The body of a batch whose items state an estimate of their length in tokens.
+fn batch_body(items: &[(&str, u32)]) -> String {
     let lines = items
         .iter()
-        .map(|(item, guess)| format!("{item} {item} {guess} -\n"));
+        .map(|(item, estimate)| format!("{item} {item} {guess} -\n"));
     format!("1\n{}", lines.collect::<String>())
 }
 
-async fn with_memory(engines: usize, tokens: u32) -> Deployment {
+async fn start_with_memory(engines: usize, tokens: u32) -> Deployment {
     let deployment = Deployment::start(engines, 0).await;
     let mut config = routing(2);
     for pool in &mut config.pools {
@@ -37,18 +37,19 @@
     deployment
 }
 
-async fn hand_in(node: &TestNode, id: &str, items: &[(&str, u32)]) {
-    assert_eq!(submit(node.callers, id, &batch(items)).await, 202);
+async fn submit_batch(node: &TestNode, id: &str, items: &[(&str, u32)]) {
+    assert_eq!(submit(node.callers, id, &batch_body(items)).await, 202);
 }
 
-/// Hands in a batch on another route than the rest, as a node that serves a route is handed its next batches.
-async fn hand_in_long_item(node: &TestNode) {
-    let body = batch(&[("long", 60)]);
+/// Submits a batch on another route than the other batches, since new batches of a route are submitted to the node that
+/// serves the route already.
+async fn submit_long_item(node: &TestNode) {
+    let body = batch_body(&[("long", 60)]);
     let status = submit_to(node.callers, "/batches/single/b", "first", &body).await;
     assert_eq!(status, 202);
 }
 
-async fn begun(engines: &[Arc<StandInBackend>], count: usize) {
+async fn wait_until_running(engines: &[Arc<StandInBackend>], count: usize) {
     wait_until("items run", || {
         engines
             .iter()
@@ -63,36 +64,36 @@
     engine.seen().into_iter().map(|seen| seen.path).collect()
 }
 
-/// A node that runs a batch of its own, since others don't follow what is told of back ends.
-async fn busy_node(deployment: &Deployment, name: &str) -> TestNode {
+/// Starts a node that runs a batch of its own. Nodes without a batch don't read the occupancy reports of other nodes.
+async fn start_busy_node(deployment: &Deployment, name: &str) -> TestNode {
     let node = deployment.node(name).await;
-    hand_in(&node, "own", &[("own", 5)]).await;
+    submit_batch(&node, "own", &[("own", 5)]).await;
     wait_until("it runs", || node.context().holds(&"own".into())).await;
     node
 }
 
-async fn knows_of_long_item(node: &TestNode) {
+async fn wait_for_report_of_long_item(node: &TestNode) {
     wait_until("the node knows of the other's tokens", || {
-        let tokens = node.context().expected_tokens(is_first);
+        let tokens = node.context().expected_tokens(is_first_node);
         tokens.values().any(|tokens| *tokens >= 60)
     })
     .await;
 }
 
-fn is_first(node: &NodeId) -> bool {
+fn is_first_node(node: &NodeId) -> bool {
     node.machine.as_str() == "first"
 }
 
-/// Counted by places, one of them would go beside the long item.
+/// By free slots alone, one of the short items would run on the engine of the long item.
 #[tokio::test]
 async fn a_node_keeps_its_items_away_from_the_long_one_of_another_node() {
-    let deployment = with_memory(2, 100).await;
-    let second = busy_node(&deployment, "second").await;
+    let deployment = start_with_memory(2, 100).await;
+    let second = start_busy_node(&deployment, "second").await;
     let first = deployment.node("first").await;
-    hand_in_long_item(&first).await;
-    knows_of_long_item(&second).await;
-    hand_in(&second, "more", &[("s1", 9), ("s2", 9), ("s3", 9)]).await;
-    begun(&deployment.engines, 5).await;
+    submit_long_item(&first).await;
+    wait_for_report_of_long_item(&second).await;
+    submit_batch(&second, "more", &[("s1", 9), ("s2", 9), ("s3", 9)]).await;
+    wait_until_running(&deployment.engines, 5).await;
     for engine in &deployment.engines {
         let paths = paths(engine);
         let has = |item: &str| paths.iter().any(|path| path.ends_with(item));
@@ -103,23 +104,23 @@
 
 #[tokio::test]
 async fn items_that_exceed_all_memory_run_nevertheless() {
-    let deployment = with_memory(1, 30).await;
+    let deployment = start_with_memory(1, 30).await;
     deployment.engines[0].behave(|behaviour| behaviour.event_pause = Duration::from_millis(10));
     let node = deployment.node("a").await;
-    hand_in(&node, "batch", &[("i1", 20), ("i2", 20), ("i3", 50)]).await;
+    submit_batch(&node, "batch", &[("i1", 20), ("i2", 20), ("i3", 50)]).await;
     wait_for_results(node.callers, "batch", 3).await;
 }
 
 #[tokio::test]
-async fn what_a_node_held_that_ended_is_free_again() {
-    let deployment = with_memory(2, 100).await;
-    let second = busy_node(&deployment, "second").await;
+async fn memory_held_by_a_dead_node_is_free_again() {
+    let deployment = start_with_memory(2, 100).await;
+    let second = start_busy_node(&deployment, "second").await;
     let mut first = deployment.node("first").await;
-    hand_in_long_item(&first).await;
-    knows_of_long_item(&second).await;
+    submit_long_item(&first).await;
+    wait_for_report_of_long_item(&second).await;
     first.kill();
     wait_until("its tokens no longer count", || {
-        second.context().expected_tokens(is_first).is_empty()
+        second.context().expected_tokens(is_first_node).is_empty()
     })
     .await;
 }
