--- a/crates/gateway/src/call_progress.rs
+++ b/crates/gateway/src/call_progress.rs
@@ -77,7 +77,7 @@
     /// When the first send was begun that a back end has run, or may have run.
     ran_since: Option<UnixMillis>,
     /// Since when it waits for the ends under it to be told.
-    untold_since: Option<Instant>,
+    unreported_since: Option<Instant>,
     sends: u32,
     may_have_run: u32,
     fell_silent: bool,
@@ -116,7 +116,7 @@
             under_way: Vec::new(),
             tried: Vec::new(),
             ran_since: None,
-            untold_since: None,
+            unreported_since: None,
             sends: 0,
             may_have_run: 0,
             fell_silent: false,
@@ -186,17 +186,19 @@
         if matches!(admission, Admission::Send(_) | Admission::Wait) {
             return None;
         }
-        if matches!(admission, Admission::Untold) && self.waits_to_be_told() {
+        if matches!(admission, Admission::EndsUnreported) && self.waits_to_be_told() {
             return None;
         }
         let (request, id) = (self.call.fingerprint(), self.call.id_text());
         match admission {
             Admission::Barred => {
-                crash_guard::tell_barred(self.context, &request, &id);
+                crash_guard::record_barred_retry(self.context, &request, &id);
                 return Some(CallOutcome::Barred);
             }
-            Admission::Untold => crash_guard::tell_untold(self.context, &request, &id),
-            _ => crash_guard::tell_left_to_another(self.context, &request, &id),
+            Admission::EndsUnreported => {
+                crash_guard::log_given_up_with_unreported_ends(self.context, &request, &id)
+            }
+            _ => crash_guard::log_left_to_another(self.context, &request, &id),
         }
         Some(match self.may_have_run {
             0 => refused(),
@@ -206,8 +208,8 @@
 
     /// Whether it may wait on until the ends under it are told to other nodes.
     fn waits_to_be_told(&mut self) -> bool {
-        let since = *self.untold_since.get_or_insert_with(Instant::now);
-        since.elapsed() < crash_guard::UNTOLD_PATIENCE
+        let since = *self.unreported_since.get_or_insert_with(Instant::now);
+        since.elapsed() < crash_guard::UNREPORTED_END_TIMEOUT
     }
 
     fn may_run_again(&self) -> bool {
@@ -263,7 +265,7 @@
     fn copy_patience(&self) -> Duration {
         let usual = share_of_objective(self.route, REFUSE_SHARE);
         let objective = share_of_objective(self.route, 1.0);
-        usual.max(crash_evidence::FATE_KNOWN_AFTER.min(objective))
+        usual.max(crash_evidence::OUTCOME_KNOWN_AFTER.min(objective))
     }
 
     fn may_hedge(&self) -> bool {
@@ -276,7 +278,7 @@
 
     /// Whether it may be sent now, in view of the back ends that ended under it.
     fn admission(&self) -> Admission {
-        if crash_guard::suspects_nobody(self.context) {
+        if crash_guard::has_no_suspects(self.context) {
             return Admission::Send(None);
         }
         let sender = match self.call.batch {
@@ -411,7 +413,7 @@
         for send in self.under_way.drain(..) {
             let mut given_up = send::unanswered(self.call, send.backend, send.link);
             given_up.slot = send.slot;
-            crash_evidence::send_given_up(self.context, given_up);
+            crash_evidence::watch_given_up_send(self.context, given_up);
         }
     }
 
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -25,11 +25,11 @@
 use crate::backends::Backends;
 use crate::batch_partitions::{BatchPartitions, BatchView};
 use crate::counted_log::CountedLog;
-use crate::crash_evidence::Watched;
+use crate::crash_evidence::WatchedSends;
 use crate::crash_guard::CrashGuard;
 use crate::edge::{
-    CheckpointStore, Dialect, Directory, DirectoryKind, LogStream, NodeClock, SharedLog,
-    StreamPartition, Surroundings,
+    CheckpointStore, Dialect, Directory, DirectoryKind, LogStream, NodeClock, NodeDependencies,
+    SharedLog, StreamPartition,
 };
 use crate::held_answers::HeldAnswers;
 use crate::intake::Intake;
@@ -148,7 +148,7 @@
     /// Other nodes that run batches.
     pub peers: Peers,
     pub(crate) crash_guard: CrashGuard,
-    pub(crate) watched: Watched,
+    pub(crate) watched_sends: WatchedSends,
     /// Where datagrams of other nodes come in, if the node listens for them.
     pub(crate) peer_socket: OnceLock<PeerSocket>,
     pub(crate) reward_pace: RewardPace,
@@ -176,14 +176,14 @@
 
 impl Context {
     /// A context that knows nothing yet.
-    pub fn new(settings: Settings, node: NodeId, surroundings: Surroundings) -> Arc<Self> {
-        let Surroundings {
+    pub fn new(settings: Settings, node: NodeId, dependencies: NodeDependencies) -> Arc<Self> {
+        let NodeDependencies {
             log,
             checkpoints,
             directory,
             dialect,
             operations,
-        } = surroundings;
+        } = dependencies;
         let window_ms = settings.metering().map(|metering| metering.window_ms);
         let regions = settings.region_map();
         let answers = HeldAnswers::new(settings.memory_bytes());
@@ -231,7 +231,7 @@
             intake: Intake::default(),
             peers: Peers::default(),
             crash_guard: CrashGuard::default(),
-            watched: Watched::default(),
+            watched_sends: WatchedSends::default(),
             peer_socket: OnceLock::new(),
             reward_pace: RewardPace::new(clock),
             stopping: AtomicBool::new(false),
--- a/crates/gateway/src/crash_evidence.rs
+++ b/crates/gateway/src/crash_evidence.rs
@@ -34,7 +34,7 @@
 /// harmful run to its end (40 to 170 ms in a recorded incident).
 const GIVEN_UP_TIME: Duration = Duration::from_millis(300);
 /// Time after which it is known what came of a send that was given up.
-pub(crate) const FATE_KNOWN_AFTER: Duration = GIVEN_UP_TIME.saturating_add(PROBE_TIMEOUT);
+pub(crate) const OUTCOME_KNOWN_AFTER: Duration = GIVEN_UP_TIME.saturating_add(PROBE_TIMEOUT);
 /// Most connections tried for one send. One that closes while the address is still open shows nothing: the process
 /// may be ending, or takes no more connections.
 const MOST_PROBES: usize = 3;
@@ -50,9 +50,9 @@
 
 /// Sends that were given up and whose back ends are watched.
 #[derive(Default)]
-pub(crate) struct Watched(AtomicUsize);
+pub(crate) struct WatchedSends(AtomicUsize);
 
-impl Watched {
+impl WatchedSends {
     fn begin(&self) -> bool {
         let begun = |count| (count < MOST_WATCHED).then_some(count + 1);
         let updated = self
@@ -83,7 +83,7 @@
 
 /// A send broke off after it was written. Returns once it is known whether its back end ended, or after a moment
 /// in which that does not show, so that the request is not sent on before.
-pub(crate) async fn send_broke(context: &Arc<Context>, send: UnansweredSend) {
+pub(crate) async fn check_broken_send(context: &Arc<Context>, send: UnansweredSend) {
     let (go_on, may_go_on) = oneshot::channel();
     tokio::spawn(search(context.clone(), send, BROKEN_TIME, Some(go_on)));
     // Nothing is ever sent there: it ends when the other half is dropped.
@@ -91,19 +91,19 @@
 }
 
 /// A send was given up: its caller left, or its time ran out.
-pub(crate) fn send_given_up(context: &Arc<Context>, send: UnansweredSend) {
+pub(crate) fn watch_given_up_send(context: &Arc<Context>, send: UnansweredSend) {
     // Without a runtime the process ends.
     let Ok(runtime) = tokio::runtime::Handle::try_current() else {
         return;
     };
-    if !context.watched.begin() {
+    if !context.watched_sends.begin() {
         report(context, &send, "not_watched");
         return;
     }
     let context = context.clone();
     runtime.spawn(async move {
         search(context.clone(), send, GIVEN_UP_TIME, None).await;
-        context.watched.end();
+        context.watched_sends.end();
     });
 }
 
@@ -186,7 +186,7 @@
 }
 
 async fn ended(context: &Arc<Context>, send: &UnansweredSend, evidence: &'static str) {
-    crash_guard::backend_ended(context, send.request, &send.backend).await;
+    crash_guard::record_backend_end(context, send.request, &send.backend).await;
     report(context, send, evidence);
 }
 
--- a/crates/gateway/src/crash_guard.rs
+++ b/crates/gateway/src/crash_guard.rs
@@ -33,7 +33,7 @@
 /// ask another node as soon as it has its answer, and this one may die.
 const PEER_PATIENCE: Duration = Duration::from_millis(200);
 /// Longest time for which a request waits for the ends under it to be told: two further tries at the log.
-pub(crate) const UNTOLD_PATIENCE: Duration = Duration::from_millis(500);
+pub(crate) const UNREPORTED_END_TIMEOUT: Duration = Duration::from_millis(500);
 /// Most words that wait to be written while the log is away; each holds some 100 bytes.
 const MOST_WAITING: usize = 256;
 /// Ends under a request that no other node knows of, from which on it is not sent here: they are forgotten if this
@@ -60,7 +60,7 @@
     /// Not yet: as many sends of it are under way as back ends may still end under it.
     Wait,
     /// Not before the ends under it that only this node knows of are told.
-    Untold,
+    EndsUnreported,
     /// It must not be sent any more.
     Barred,
 }
@@ -95,7 +95,7 @@
 
 impl CrashGuard {
     /// Whether any request is kept back until the ends under it are told.
-    pub(crate) fn keeps_back(&self) -> bool {
+    pub(crate) fn has_held_back_requests(&self) -> bool {
         let untold = self.lock_untold();
         self.is_full() || untold.values().any(|ends| ends.len() >= MOST_UNTOLD_ENDS)
     }
@@ -146,7 +146,7 @@
 }
 
 /// Whether nothing is known against any request, so that none needs a look.
-pub(crate) fn suspects_nobody(context: &Context) -> bool {
+pub(crate) fn has_no_suspects(context: &Context) -> bool {
     context.control.lock().state.crashes().is_empty()
 }
 
@@ -175,7 +175,7 @@
     };
     let ends_left = context.crash_guard.ends_left(request);
     if ends_left == 0 {
-        return Admission::Untold;
+        return Admission::EndsUnreported;
     }
     let runs_left = runs_left.min(ends_left);
     let mut under_way = context.crash_guard.lock_under_way();
@@ -191,13 +191,17 @@
 }
 
 /// Whether a suspected request is kept back until the ends under it are told.
-pub(crate) fn is_kept_back(context: &Context, request: &Fingerprint) -> bool {
+pub(crate) fn is_held_back(context: &Context, request: &Fingerprint) -> bool {
     context.crash_guard.ends_left(request) == 0
         && !matches!(suspicion(context, request), Suspicion::None)
 }
 
 /// A request is given up as the ends under it could not be told: says so.
-pub(crate) fn tell_untold(context: &Context, request: &Fingerprint, id: &str) {
+pub(crate) fn log_given_up_with_unreported_ends(
+    context: &Context,
+    request: &Fingerprint,
+    id: &str,
+) {
     let waiting = context.crash_guard.waiting.load(Ordering::Relaxed);
     let suspicion = suspicion(context, request);
     metrics::untold_request_given_up();
@@ -207,7 +211,7 @@
 }
 
 /// A barred request came again: tells why it is not sent. `id` is the id of this try.
-pub(crate) fn tell_barred(context: &Context, request: &Fingerprint, id: &str) {
+pub(crate) fn record_barred_retry(context: &Context, request: &Fingerprint, id: &str) {
     let now = context.now();
     let mut control = context.control.lock();
     let crashes = control.state.crashes_mut();
@@ -222,14 +226,14 @@
 }
 
 /// A request that another node tries came here: tells that it is refused.
-pub(crate) fn tell_left_to_another(context: &Context, request: &Fingerprint, id: &str) {
+pub(crate) fn log_left_to_another(context: &Context, request: &Fingerprint, id: &str) {
     let suspicion = suspicion(context, request);
     info!(event = "request_left_to_another", request = id, content = request.to_string().as_str(),
         suspicion = format!("{suspicion:?}").as_str(); "");
 }
 
 /// Requests that were barred by what the control stream told since the last call.
-pub(crate) fn tell_newly_barred(context: &Context) {
+pub(crate) fn log_newly_barred(context: &Context) {
     let now = context.now();
     let mut control = context.control.lock();
     let newly = control.state.crashes_mut().take_newly_barred(now);
@@ -290,7 +294,7 @@
 
 /// Notes and tells that a back end ended under a request. Waits a moment for the word to stand in the log: the
 /// caller may ask another node as soon as it has its answer.
-pub(crate) async fn backend_ended(
+pub(crate) async fn record_backend_end(
     context: &Arc<Context>,
     request: Fingerprint,
     backend: &BackendId,
@@ -300,7 +304,7 @@
         seen_by: context.node.machine.clone(),
     };
     note_ended(context, request, ended.clone());
-    tell_newly_barred(context);
+    log_newly_barred(context);
     if let Some(telling) = tell_an_end(context, request, ended) {
         telling.wait_a_moment(context).await;
     }
@@ -315,14 +319,14 @@
 
 /// A back end answered a request, so that the back end lives. If it answered with success, the request can be run; any
 /// other answer may have been given before it began to run it.
-pub(crate) fn answered(
+pub(crate) fn record_answer(
     context: &Arc<Context>,
     backend: &BackendId,
     is_success: bool,
     request: impl FnOnce() -> Fingerprint,
 ) {
     // Nothing is worked out, not even the fingerprint, while nobody is suspected.
-    if suspects_nobody(context) {
+    if has_no_suspects(context) {
         return;
     }
     if is_success {
@@ -370,7 +374,7 @@
 
 /// Another node told of an end that the log did not take from it: goes by it, and writes it. False if there is no room
 /// for it.
-pub(crate) fn end_was_told(
+pub(crate) fn record_end_from_peer(
     context: &Arc<Context>,
     request: Fingerprint,
     ended: &EndedBackend,
@@ -386,7 +390,7 @@
         return false;
     }
     note_ended(context, request, ended.clone());
-    tell_newly_barred(context);
+    log_newly_barred(context);
     let ended = ended.clone();
     // Two machines know of it: nothing is kept back for it.
     tell(context, ControlRecord::BackendEnded { request, ended });
@@ -448,7 +452,7 @@
         }
         tokio::select! {
             _ = writing.wait_for(|told| *told == Told::Written) => {}
-            recipient = peer_notices::tell_an_end(&context, request, &ended) => {
+            recipient = peer_notices::report_end(&context, request, &ended) => {
                 info!(event = "end_told_to_peer", content = request.to_string().as_str(),
                     backend = ended.backend.as_str(), peer = recipient.to_string().as_str(); "");
                 metrics::crash_told("to_peer");
--- a/crates/gateway/src/directories.rs
+++ b/crates/gateway/src/directories.rs
@@ -107,10 +107,10 @@
                 for entry in page.entries {
                     take_entry(&context, entry, None);
                 }
-                self.look_at_size(page.behind);
+                self.look_at_size(page.remaining);
                 self.look_at_known_size();
                 context.control_changed.notify_one();
-                if page.behind > 0 {
+                if page.remaining > 0 {
                     self.catch_up();
                     return;
                 }
@@ -286,14 +286,14 @@
             let change = BackendChange { name, record: None };
             take_entry(context, DirectoryEntry::Backend(change), listed);
         }
-        DirectoryEntry::Evacuation { zone, is_asked } => match listed {
-            Some(listed) if is_asked => {
+        DirectoryEntry::Evacuation { zone, is_requested } => match listed {
+            Some(listed) if is_requested => {
                 listed.evacuated.insert(zone);
             }
             Some(listed) => {
                 listed.evacuated.remove(&zone);
             }
-            None => set_evacuated(context, &zone, is_asked),
+            None => set_evacuated(context, &zone, is_requested),
         },
         DirectoryEntry::Backend(change) => match (listed, change.record.clone()) {
             (Some(listed), Some(record)) => {
--- a/crates/gateway/src/edge.rs
+++ b/crates/gateway/src/edge.rs
@@ -195,7 +195,7 @@
         /// The zone.
         zone: ZoneName,
         /// Whether it is to be evacuated.
-        is_asked: bool,
+        is_requested: bool,
     },
     /// A back end's entry changed.
     Backend(BackendChange),
@@ -213,7 +213,7 @@
     /// Offset from which later changes can be read.
     pub next: u64,
     /// Changes that were there behind these.
-    pub behind: u64,
+    pub remaining: u64,
 }
 
 /// One page of a listing; pages are no snapshot.
@@ -400,7 +400,7 @@
 }
 
 /// What a node is put together from.
-pub struct Surroundings {
+pub struct NodeDependencies {
     /// The shared log.
     pub log: Arc<dyn SharedLog>,
     /// Checkpoints of its streams.
--- a/crates/gateway/src/engine/barred.rs
+++ b/crates/gateway/src/engine/barred.rs
@@ -25,7 +25,7 @@
             .state
             .crashes()
             .has_bar_candidates();
-        if !may_bar && !self.context.crash_guard.keeps_back() {
+        if !may_bar && !self.context.crash_guard.has_held_back_requests() {
             return HashSet::new();
         }
         let mut barred = HashSet::new();
@@ -34,7 +34,7 @@
             let Some(request) = self.fingerprint_of(&key) else {
                 continue;
             };
-            if crash_guard::is_kept_back(&self.context, &request) {
+            if crash_guard::is_held_back(&self.context, &request) {
                 barred.insert(key);
                 continue;
             }
@@ -65,7 +65,7 @@
             self.told_barred.clear();
         }
         if self.told_barred.insert(key.clone()) {
-            crash_guard::tell_barred(&self.context, request, key.item.as_str());
+            crash_guard::record_barred_retry(&self.context, request, key.item.as_str());
         }
     }
 }
--- a/crates/gateway/src/engine/run.rs
+++ b/crates/gateway/src/engine/run.rs
@@ -187,7 +187,7 @@
     match end {
         RunEnd::Whole | RunEnd::Failed | RunEnd::Impossible => {
             let is_success = *end == RunEnd::Whole;
-            crash_guard::answered(context, &backend.id, is_success, request);
+            crash_guard::record_answer(context, &backend.id, is_success, request);
         }
         RunEnd::Broken | RunEnd::Stalled if events < EVENTS_OF_A_SOUND_RUN => {
             let broken = UnansweredSend {
@@ -197,7 +197,7 @@
                 link: backend.link.clone(),
                 slot: None,
             };
-            crash_evidence::send_broke(context, broken).await;
+            crash_evidence::check_broken_send(context, broken).await;
         }
         RunEnd::Broken
         | RunEnd::Stalled
--- a/crates/gateway/src/followers.rs
+++ b/crates/gateway/src/followers.rs
@@ -197,7 +197,7 @@
         }
         context.follow_fleet_size();
         context.note_observed_versions();
-        crash_guard::tell_newly_barred(&context);
+        crash_guard::log_newly_barred(&context);
         context.work.notify_one();
     }
 }
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -18,7 +18,7 @@
 use crate::coordinator::Coordinator;
 use crate::digest_writer;
 use crate::directories;
-use crate::edge::Surroundings;
+use crate::edge::NodeDependencies;
 use crate::engine::Engine;
 use crate::followers;
 use crate::knowledge_metrics;
@@ -87,12 +87,12 @@
 /// Runs a node until it is told to stop. `reload` is called when the settings may have changed.
 pub async fn run(
     settings: Settings,
-    surroundings: Surroundings,
+    dependencies: NodeDependencies,
     reload: impl Fn(),
 ) -> Result<(), NodeError> {
     // Before anything is served, so that no signal finds the default action, which kills.
     let signals = Signals::listen()?;
-    let running = start(settings, surroundings).await?;
+    let running = start(settings, dependencies).await?;
     signals.wait_for_stop(reload).await;
     running.stop().await;
     Ok(())
@@ -101,7 +101,7 @@
 /// Starts a node.
 pub async fn start(
     settings: Settings,
-    surroundings: Surroundings,
+    dependencies: NodeDependencies,
 ) -> Result<RunningNode, NodeError> {
     let machine = MachineName::from(settings.node.as_str());
     let node = NodeId {
@@ -112,7 +112,7 @@
     let callers = server::listen("callers'", listen.callers).await?;
     let callers_address = callers.local_addr().map_err(NodeError::Address)?;
     let ready = server::listen("readiness", listen.ready).await?;
-    let context = Context::new(settings, node, surroundings);
+    let context = Context::new(settings, node, dependencies);
     if let Some(address) = listen.datagrams {
         let socket = PeerSocket::bind(address).await?;
         // Set once: a node starts once.
--- a/crates/gateway/src/operator.rs
+++ b/crates/gateway/src/operator.rs
@@ -16,7 +16,7 @@
     #[error(
         "{0:?} is no fingerprint: 32 hexadecimal digits, as the field `content` of log lines names it"
     )]
-    NoFingerprint(String),
+    InvalidFingerprint(String),
     /// It could not be written to the log.
     #[error("not written: {0}")]
     NotWritten(#[from] LogError),
@@ -29,7 +29,7 @@
     fingerprint: &str,
 ) -> Result<(), ClearError> {
     let request = Fingerprint::parse(fingerprint)
-        .ok_or_else(|| ClearError::NoFingerprint(fingerprint.to_owned()))?;
+        .ok_or_else(|| ClearError::InvalidFingerprint(fingerprint.to_owned()))?;
     let record = ControlRecord::RequestCleared { request };
     let records = framing::split(&record.encode(), record_bytes);
     log.append(CONTROL, records).await?;
--- a/crates/gateway/src/order_run.rs
+++ b/crates/gateway/src/order_run.rs
@@ -151,7 +151,7 @@
     let load = || fingerprint::of_load(&order.model, order.version);
     match (report, given) {
         (Some(report), _) if order.is_taken(report) => {
-            crash_guard::answered(context, &order.backend, true, load);
+            crash_guard::record_answer(context, &order.backend, true, load);
         }
         (Some(_), _) => {}
         // One that had ended before says nothing of the version.
@@ -167,7 +167,7 @@
                 link: chosen.link.clone(),
                 slot: None,
             };
-            crash_evidence::send_broke(context, unanswered).await;
+            crash_evidence::check_broken_send(context, unanswered).await;
         }
     }
 }
--- a/crates/gateway/src/peer_notices.rs
+++ b/crates/gateway/src/peer_notices.rs
@@ -134,7 +134,7 @@
 
 /// Tells other nodes that a back end ended under a request, until one has heard it; answers where that is. Without a
 /// socket of its own a node tells nobody, and this never ends.
-pub(crate) async fn tell_an_end(
+pub(crate) async fn report_end(
     context: &Context,
     request: Fingerprint,
     ended: &EndedBackend,
@@ -228,7 +228,7 @@
 async fn take(context: &Arc<Context>, socket: &PeerSocket, notice: PeerNotice, from: SocketAddr) {
     match notice {
         PeerNotice::BackendEnded { id, request, ended } => {
-            let is_kept = crash_guard::end_was_told(context, request, &ended);
+            let is_kept = crash_guard::record_end_from_peer(context, request, &ended);
             metrics::peer_notice(if is_kept { "heard" } else { "no_room" });
             info!(event = "peer_notice_heard", from = from.to_string().as_str(),
                 content = request.to_string().as_str(), backend = ended.backend.as_str(),
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -114,7 +114,9 @@
                 Ok(Some(bytes)) => return Some(Ok(bytes)),
                 Ok(None) if current.answer.is_framed() && self.reader.remaining().is_empty() => {
                     let backend = &current.backend.id;
-                    crash_guard::answered(&self.context, backend, true, || self.call.fingerprint());
+                    crash_guard::record_answer(&self.context, backend, true, || {
+                        self.call.fingerprint()
+                    });
                     self.current = None;
                     return None;
                 }
@@ -140,7 +142,7 @@
             .current
             .take()
             .map(|current| current.backend.id.clone());
-        let mut untold_since = None;
+        let mut unreported_since = None;
         while self.is_resumable && self.resumes_left > 0 && Instant::now() < self.ends {
             let request = self.call.fingerprint();
             let slot = match crash_guard::admit(&self.context, &request, Sender::Any) {
@@ -149,23 +151,23 @@
                     tokio::time::sleep(ADMISSION_PAUSE).await;
                     continue;
                 }
-                Admission::Untold => {
-                    let since = *untold_since.get_or_insert_with(Instant::now);
-                    if since.elapsed() < crash_guard::UNTOLD_PATIENCE {
+                Admission::EndsUnreported => {
+                    let since = *unreported_since.get_or_insert_with(Instant::now);
+                    if since.elapsed() < crash_guard::UNREPORTED_END_TIMEOUT {
                         tokio::time::sleep(ADMISSION_PAUSE).await;
                         continue;
                     }
                     let id = self.call.id_text();
-                    crash_guard::tell_untold(&self.context, &request, &id);
+                    crash_guard::log_given_up_with_unreported_ends(&self.context, &request, &id);
                     break;
                 }
                 Admission::LeftToAnother => {
                     let id = self.call.id_text();
-                    crash_guard::tell_left_to_another(&self.context, &request, &id);
+                    crash_guard::log_left_to_another(&self.context, &request, &id);
                     break;
                 }
                 Admission::Barred => {
-                    crash_guard::tell_barred(&self.context, &request, &self.call.id_text());
+                    crash_guard::record_barred_retry(&self.context, &request, &self.call.id_text());
                     break;
                 }
             };
@@ -227,7 +229,7 @@
 
     async fn send_broke(&self, backend: BackendId, link: Link) {
         let broken = send::unanswered(&self.call, backend, link);
-        crash_evidence::send_broke(&self.context, broken).await;
+        crash_evidence::check_broken_send(&self.context, broken).await;
     }
 
     fn report(&self, outcome: &'static str, from: Option<&BackendId>, to: Option<&BackendId>) {
@@ -245,7 +247,7 @@
             let (id, link) = (current.backend.id.clone(), current.backend.link.clone());
             let mut given_up = send::unanswered(&self.call, id, link);
             given_up.slot = current.slot;
-            crash_evidence::send_given_up(&self.context, given_up);
+            crash_evidence::watch_given_up_send(&self.context, given_up);
         }
     }
 }
--- a/crates/gateway/src/send.rs
+++ b/crates/gateway/src/send.rs
@@ -105,13 +105,13 @@
     match &outcome {
         SendOutcome::Answered(answer) => {
             let is_success = answer.status.is_success();
-            crash_guard::answered(context, &backend, is_success, || call.fingerprint());
+            crash_guard::record_answer(context, &backend, is_success, || call.fingerprint());
         }
         SendOutcome::MayHaveRun(BROKEN | CUT_SHORT) => {
-            crash_evidence::send_broke(context, unanswered(call, backend, link)).await;
+            crash_evidence::check_broken_send(context, unanswered(call, backend, link)).await;
         }
         SendOutcome::MayHaveRun(SILENT) => {
-            crash_evidence::send_given_up(context, unanswered(call, backend, link));
+            crash_evidence::watch_given_up_send(context, unanswered(call, backend, link));
         }
         SendOutcome::Streaming(_) | SendOutcome::NotRun(_) | SendOutcome::MayHaveRun(_) => {}
     }
--- a/crates/gateway/tests/batches.rs
+++ b/crates/gateway/tests/batches.rs
@@ -300,7 +300,7 @@
     running_batch(&deployment, &first).await;
     first.kill();
     assert_all_whole(&wait_for_results(second.callers, "batch", ITEMS.len()).await);
-    let resumed = |seen: &support::backend::Seen| seen.header("last-event-id").is_some();
+    let resumed = |seen: &support::backend::ReceivedRequest| seen.header("last-event-id").is_some();
     let was_resumed = deployment
         .engines
         .iter()
--- a/crates/gateway/tests/crashing_requests.rs
+++ b/crates/gateway/tests/crashing_requests.rs
@@ -21,7 +21,9 @@
 use support::caller::{call, send, submit, wait_for_results};
 use support::deployment::{APPLICATIONS, Deployment, ENGINES, TestNode, listed, wait_until};
 use support::dialect::write_batch;
-use support::ends::{HARMFUL, MOST_ENDS, all_know_of_all_ends, end_by_harmful, ended};
+use support::ends::{
+    HARMFUL_PATH_PART, MAX_ENDS, count_ended, end_on_harmful_requests, wait_for_ends_known_by_all,
+};
 use support::log::{LogFaults, NodeLog};
 
 /// Time for nodes to learn from each other.
@@ -41,17 +43,17 @@
 #[tokio::test]
 async fn a_call_that_ends_back_ends_is_soon_refused_by_all_nodes() {
     let deployment = Deployment::start(0, 8).await;
-    end_by_harmful(&deployment.applications);
+    end_on_harmful_requests(&deployment.applications);
     let nodes = nodes(&deployment, &["a", "b", "c"]).await;
     for round in 0..3 {
         for (at, node) in nodes.iter().enumerate() {
             let id = format!("try-{round}-{at}");
             assert_eq!(ask(node, &id, "/calls/harmful").await, 502);
-            all_know_of_all_ends(&nodes, &deployment.applications).await;
+            wait_for_ends_known_by_all(&nodes, &deployment.applications).await;
         }
     }
-    let ended = ended(&deployment.applications);
-    assert!(ended <= MOST_ENDS, "{ended} back ends ended");
+    let ended = count_ended(&deployment.applications);
+    assert!(ended <= MAX_ENDS, "{ended} back ends ended");
     let honest = ask(&nodes[0], "honest", "/calls/honest").await;
     assert_eq!(honest, 200, "the back ends that are left serve");
 }
@@ -60,7 +62,7 @@
 #[tokio::test]
 async fn back_ends_that_came_back_are_not_ended_again() {
     let deployment = Deployment::start(0, 3).await;
-    end_by_harmful(&deployment.applications);
+    end_on_harmful_requests(&deployment.applications);
     let node = deployment.node("a").await;
     ask(&node, "first", "/calls/harmful").await;
     let mut next_lives = Vec::new();
@@ -77,12 +79,12 @@
             .write_backends(listed(&next, APPLICATIONS, false));
         next_lives.push(next);
     }
-    end_by_harmful(&next_lives);
+    end_on_harmful_requests(&next_lives);
     node.knows(6).await;
     for number in 0..5 {
         ask(&node, &format!("next-{number}"), "/calls/harmful").await;
     }
-    assert_eq!(ended(&next_lives), 0);
+    assert_eq!(count_ended(&next_lives), 0);
     assert_eq!(ask(&node, "honest", "/calls/honest").await, 200);
 }
 
@@ -90,7 +92,7 @@
 #[tokio::test]
 async fn an_item_that_ends_back_ends_is_not_run_again() {
     let deployment = Deployment::start(8, 0).await;
-    end_by_harmful(&deployment.engines);
+    end_on_harmful_requests(&deployment.engines);
     let nodes = nodes(&deployment, &["a", "b"]).await;
     let items = [("harmful-1", "g1"), ("i2", "g2"), ("i3", "g2")];
     let body = write_batch(1, &items, false);
@@ -101,8 +103,8 @@
         "{lines:?}"
     );
     tokio::time::sleep(Duration::from_secs(4)).await;
-    let ended = ended(&deployment.engines);
-    assert!(ended <= MOST_ENDS, "{ended} back ends ended");
+    let ended = count_ended(&deployment.engines);
+    assert!(ended <= MAX_ENDS, "{ended} back ends ended");
 }
 
 /// Connections that break say nothing against a request while the back ends live.
@@ -128,7 +130,7 @@
     let deployment = Deployment::start(0, 8).await;
     for backend in &deployment.applications {
         backend.behave(|told| {
-            told.ended_by = Some(HARMFUL.to_owned());
+            told.ends_on_path = Some(HARMFUL_PATH_PART.to_owned());
             told.call = CallBehaviour::Silent;
         });
     }
@@ -195,39 +197,39 @@
 #[tokio::test]
 async fn a_stream_that_ends_back_ends_is_soon_refused_by_all_nodes() {
     let deployment = Deployment::start(8, 0).await;
-    end_by_harmful(&deployment.engines);
+    end_on_harmful_requests(&deployment.engines);
     let nodes = nodes(&deployment, &["a", "b", "c"]).await;
     for (at, node) in nodes.iter().chain(&nodes).enumerate() {
         let id = format!("try-{at}");
         assert_eq!(ask(node, &id, "/streams/harmful").await, 502);
-        all_know_of_all_ends(&nodes, &deployment.engines).await;
+        wait_for_ends_known_by_all(&nodes, &deployment.engines).await;
     }
-    let ended = ended(&deployment.engines);
-    assert!(ended <= MOST_ENDS, "{ended} back ends ended");
+    let ended = count_ended(&deployment.engines);
+    assert!(ended <= MAX_ENDS, "{ended} back ends ended");
 }
 
 /// A node that starts learns what others know before it can harm more back ends.
 #[tokio::test]
 async fn a_node_that_starts_does_not_begin_at_zero() {
     let deployment = Deployment::start(0, 8).await;
-    end_by_harmful(&deployment.applications);
+    end_on_harmful_requests(&deployment.applications);
     let mut first = deployment.node("a").await;
     for number in 0..2 {
         ask(&first, &format!("try-{number}"), "/calls/harmful").await;
     }
     tokio::time::sleep(LEARNING).await;
     first.kill();
-    let before = ended(&deployment.applications);
+    let before = count_ended(&deployment.applications);
     let second = deployment.node("b").await;
     assert_eq!(ask(&second, "late", "/calls/harmful").await, 502);
-    assert_eq!(ended(&deployment.applications), before);
+    assert_eq!(count_ended(&deployment.applications), before);
 }
 
 /// Without the log a node goes by what it saw itself, and tells the others when the log is back.
 #[tokio::test]
 async fn a_node_without_the_log_goes_by_its_own_sight() {
     let deployment = Deployment::start(0, 8).await;
-    end_by_harmful(&deployment.applications);
+    end_on_harmful_requests(&deployment.applications);
     let nodes = nodes(&deployment, &["a", "b"]).await;
     nodes[0].knows_addresses(nodes.len()).await;
     nodes[0].set_faults(LogFaults {
@@ -237,26 +239,26 @@
     for number in 0..4 {
         ask(&nodes[0], &format!("try-{number}"), "/calls/harmful").await;
     }
-    let before = ended(&deployment.applications);
-    assert!(before <= MOST_ENDS, "{before} back ends ended");
+    let before = count_ended(&deployment.applications);
+    assert!(before <= MAX_ENDS, "{before} back ends ended");
     nodes[0].set_faults(LogFaults::default());
     tokio::time::sleep(Duration::from_secs(2)).await;
     ask(&nodes[1], "elsewhere", "/calls/harmful").await;
-    assert_eq!(ended(&deployment.applications), before);
+    assert_eq!(count_ended(&deployment.applications), before);
 }
 
 /// An operator lifts a wrong bar by the fingerprint that log lines name.
 #[tokio::test]
 async fn a_bar_that_an_operator_lifts_is_lifted_at_all_nodes() {
     let deployment = Deployment::start(0, 8).await;
-    end_by_harmful(&deployment.applications);
+    end_on_harmful_requests(&deployment.applications);
     let nodes = nodes(&deployment, &["a", "b"]).await;
     for number in 0..2 {
         ask(&nodes[0], &format!("try-{number}"), "/calls/harmful").await;
     }
-    all_know_of_all_ends(&nodes, &deployment.applications).await;
+    wait_for_ends_known_by_all(&nodes, &deployment.applications).await;
     for backend in &deployment.applications {
-        backend.behave(|told| told.ended_by = None);
+        backend.behave(|told| told.ends_on_path = None);
     }
     assert_eq!(ask(&nodes[1], "barred", "/calls/harmful").await, 502);
     let kept = nodes[0]
@@ -269,7 +271,7 @@
     assert_eq!(kept.len(), 1, "{kept:?}");
     let log = NodeLog::new(&deployment.log);
     let wrong = clear_request(log.as_ref(), 512, "no fingerprint").await;
-    assert!(matches!(wrong, Err(ClearError::NoFingerprint(_))));
+    assert!(matches!(wrong, Err(ClearError::InvalidFingerprint(_))));
     let fingerprint = kept[0].request.to_string();
     clear_request(log.as_ref(), 512, &fingerprint)
         .await
--- a/crates/gateway/tests/ended_batches.rs
+++ b/crates/gateway/tests/ended_batches.rs
@@ -13,7 +13,7 @@
 use havenstage_clock::Instant;
 use havenstage_gateway::calls::{self, Call};
 use http::Method;
-use support::backend::{CallBehaviour, Seen, StandInBackend};
+use support::backend::{CallBehaviour, ReceivedRequest, StandInBackend};
 use support::caller::{send, submit, wait_for_results};
 use support::deployment::{Deployment, TestNode, wait_until};
 use support::dialect::{HOST, write_batch};
@@ -76,18 +76,18 @@
     Duration::from_millis(node.context().settings.bounds.end_in_force_ms)
 }
 
-fn is_item(seen: &Seen) -> bool {
+fn is_item(seen: &ReceivedRequest) -> bool {
     seen.path.starts_with("/items/")
 }
 
-fn is_reward(seen: &Seen) -> bool {
+fn is_reward(seen: &ReceivedRequest) -> bool {
     seen.path == "/calls/reward"
 }
 
 /// How long after the end the requests came that came too late, in milliseconds.
 fn late_ms(
     backend: &StandInBackend,
-    is_work: fn(&Seen) -> bool,
+    is_work: fn(&ReceivedRequest) -> bool,
     ended: Instant,
     in_force: Duration,
 ) -> Vec<u128> {
--- a/crates/gateway/tests/harmful_versions.rs
+++ b/crates/gateway/tests/harmful_versions.rs
@@ -17,7 +17,7 @@
 use support::dialect::MODEL;
 
 /// Engines that may end under a version before it counts as harmful, and one that tries it then.
-const MOST_ENDS: usize = 4;
+const MAX_ENDS: usize = 4;
 const HARMFUL_VERSION: u64 = 2;
 
 fn name_version(deployment: &Deployment, version: u64) {
@@ -26,7 +26,7 @@
     deployment.log.write_operators(named);
 }
 
-fn ended(deployment: &Deployment) -> usize {
+fn count_ended(deployment: &Deployment) -> usize {
     let engines = deployment.engines.iter();
     engines.filter(|engine| engine.has_ended()).count()
 }
@@ -35,14 +35,14 @@
 async fn a_version_that_ends_engines_is_not_ordered_from_all() {
     let deployment = Deployment::start(8, 0).await;
     for engine in &deployment.engines {
-        engine.behave(|told| told.ended_by_version = Some(HARMFUL_VERSION));
+        engine.behave(|told| told.ends_on_version = Some(HARMFUL_VERSION));
     }
     let _nodes = [deployment.node("a").await, deployment.node("b").await];
     name_version(&deployment, HARMFUL_VERSION);
-    wait_until("engines ended", || ended(&deployment) >= 3).await;
+    wait_until("engines ended", || count_ended(&deployment) >= 3).await;
     tokio::time::sleep(Duration::from_secs(6)).await;
-    let ended = ended(&deployment);
-    assert!(ended <= MOST_ENDS, "{ended} engines ended");
+    let ended = count_ended(&deployment);
+    assert!(ended <= MAX_ENDS, "{ended} engines ended");
     name_version(&deployment, HARMFUL_VERSION + 1);
     wait_until("the others load the next version", || {
         let mut living = deployment
--- a/crates/gateway/tests/keys.rs
+++ b/crates/gateway/tests/keys.rs
@@ -10,7 +10,7 @@
 use havenstage_rollout::residency::Residency;
 use havenstage_rollout::route::RoutingConfig;
 use http::Method;
-use support::backend::Seen;
+use support::backend::ReceivedRequest;
 use support::caller::{send, text};
 use support::deployment::{Deployment, TestNode, routing, wait_until};
 use support::dialect::write_batch;
@@ -66,7 +66,7 @@
     answer.unwrap().status.as_u16()
 }
 
-fn last_seen(deployment: &Deployment) -> Seen {
+fn last_seen(deployment: &Deployment) -> ReceivedRequest {
     deployment.applications[0].seen().pop().unwrap()
 }
 
@@ -210,7 +210,7 @@
     let ended = on_batch(&other, Method::DELETE, "/results/batch", "k1").await;
     assert_eq!(ended.0, 200);
     wait_until("the items are dropped", || {
-        deployment.engines[0].at_work() == 0
+        deployment.engines[0].in_flight() == 0
     })
     .await;
 }
--- a/crates/gateway/tests/missed_ends.rs
+++ b/crates/gateway/tests/missed_ends.rs
@@ -23,7 +23,9 @@
 use support::caller::{call, send, submit, wait_for_results};
 use support::deployment::{APPLICATIONS, Deployment, TestNode, listed, settings, wait_until};
 use support::dialect::write_batch;
-use support::ends::{MOST_ENDS, all_know_of_all_ends, end_by_harmful, ended, known_ends};
+use support::ends::{
+    MAX_ENDS, count_ended, count_known_ends, end_on_harmful_requests, wait_for_ends_known_by_all,
+};
 use support::log::{LogFaults, NodeLog};
 
 /// Time after which a caller leaves: before its request has ended the back end.
@@ -37,8 +39,8 @@
     nodes: &[TestNode],
     path: &str,
 ) -> usize {
-    end_by_harmful(backends);
-    for number in 0..3 * MOST_ENDS {
+    end_on_harmful_requests(backends);
+    for number in 0..3 * MAX_ENDS {
         let address = nodes[number % nodes.len()].callers;
         let id = format!("try-{number}");
         let headers = [("x-id", id.as_str()), ("x-deadline", "2000")];
@@ -47,7 +49,7 @@
         let _ = tokio::time::timeout(LEAVES_AFTER, asked).await;
         tokio::time::sleep(NEXT_TRY).await;
     }
-    ended(backends)
+    count_ended(backends)
 }
 
 #[tokio::test]
@@ -56,7 +58,7 @@
     let nodes = [deployment.node("a").await, deployment.node("b").await];
     let backends = &deployment.applications;
     let ended = ends_under_callers_that_leave(backends, &nodes, "/calls/harmful").await;
-    assert!(ended <= MOST_ENDS, "{ended} back ends ended");
+    assert!(ended <= MAX_ENDS, "{ended} back ends ended");
 }
 
 #[tokio::test]
@@ -65,20 +67,20 @@
     let nodes = [deployment.node("a").await, deployment.node("b").await];
     let backends = &deployment.engines;
     let ended = ends_under_callers_that_leave(backends, &nodes, "/streams/harmful").await;
-    assert!(ended <= MOST_ENDS, "{ended} back ends ended");
+    assert!(ended <= MAX_ENDS, "{ended} back ends ended");
 }
 
 /// While it is not known whether a back end ends under a send that was given up, no other copy is sent in its place.
 #[tokio::test]
 async fn a_send_that_was_given_up_counts_until_it_is_known_what_came_of_it() {
     let deployment = Deployment::start(0, 8).await;
-    end_by_harmful(&deployment.applications);
+    end_on_harmful_requests(&deployment.applications);
     let node = deployment.node("a").await;
-    for number in 0..MOST_ENDS - 1 {
+    for number in 0..MAX_ENDS - 1 {
         let id = format!("try-{number}");
         call(node.callers, &id, "/once/harmful").await;
     }
-    assert_eq!(known_ends(&node), MOST_ENDS - 1);
+    assert_eq!(count_known_ends(&node), MAX_ENDS - 1);
     let headers = [("x-id", "leaves"), ("x-deadline", "2000")];
     let asked = send(
         node.callers,
@@ -90,7 +92,7 @@
     let _ = tokio::time::timeout(LEAVES_AFTER, asked).await;
     call(node.callers, "next", "/once/harmful").await;
     tokio::time::sleep(NEXT_TRY).await;
-    assert_eq!(ended(&deployment.applications), MOST_ENDS);
+    assert_eq!(count_ended(&deployment.applications), MAX_ENDS);
 }
 
 /// Guards against the refusal of a call that waits for another copy of it, which was given up before a back end began it: it
@@ -99,15 +101,15 @@
 async fn a_call_outwaits_a_copy_that_was_given_up_before_it_began() {
     let deployment = Deployment::start(0, 8).await;
     let backends = &deployment.applications;
-    end_by_harmful(backends);
+    end_on_harmful_requests(backends);
     let node = deployment.node("a").await;
-    for number in 0..MOST_ENDS - 1 {
+    for number in 0..MAX_ENDS - 1 {
         let id = format!("try-{number}");
         call(node.callers, &id, "/once/harmful").await;
     }
     for backend in backends {
         backend.behave(|told| {
-            told.ended_by = None;
+            told.ends_on_path = None;
             told.call = CallBehaviour::Silent;
         });
     }
@@ -131,7 +133,7 @@
 #[tokio::test]
 async fn an_end_that_a_node_slept_through_counts() {
     let deployment = Deployment::start(0, 1).await;
-    end_by_harmful(&deployment.applications);
+    end_on_harmful_requests(&deployment.applications);
     let node = deployment.node("a").await;
     let former = deployment.applications[0].clone();
     let address = node.callers;
@@ -149,7 +151,7 @@
     let is_listed = listed(&next, APPLICATIONS, false);
     deployment.log.write_backends(is_listed);
     asked.await.unwrap();
-    wait_until("the end is known", || known_ends(&node) == 1).await;
+    wait_until("the end is known", || count_known_ends(&node) == 1).await;
 }
 
 /// A back end that fails at a request may not have begun to run it.
@@ -157,38 +159,38 @@
 async fn a_failure_of_a_back_end_clears_no_request() {
     let deployment = Deployment::start(0, 8).await;
     let node = deployment.node("a").await;
-    for round in 0..2 * MOST_ENDS {
-        end_by_harmful(&deployment.applications);
+    for round in 0..2 * MAX_ENDS {
+        end_on_harmful_requests(&deployment.applications);
         let id = format!("harmful-{round}");
         call(node.callers, &id, "/once/harmful").await;
         for backend in &deployment.applications {
             backend.behave(|told| {
-                told.ended_by = None;
+                told.ends_on_path = None;
                 told.call = CallBehaviour::Fail;
             });
         }
         let id = format!("failed-{round}");
         call(node.callers, &id, "/once/harmful").await;
     }
-    let ended = ended(&deployment.applications);
-    assert!(ended <= MOST_ENDS, "{ended} back ends ended");
+    let ended = count_ended(&deployment.applications);
+    assert!(ended <= MAX_ENDS, "{ended} back ends ended");
 }
 
 /// A process that ends does not close everything at the same moment.
 #[tokio::test]
 async fn an_address_that_is_open_for_a_moment_hides_no_end() {
     let deployment = Deployment::start(0, 8).await;
-    end_by_harmful(&deployment.applications);
+    end_on_harmful_requests(&deployment.applications);
     for backend in &deployment.applications {
-        backend.behave(|told| told.listens_on = Duration::from_millis(5));
+        backend.behave(|told| told.listen_time_after_end = Duration::from_millis(5));
     }
     let node = deployment.node("a").await;
-    for number in 0..MOST_ENDS {
+    for number in 0..MAX_ENDS {
         let id = format!("try-{number}");
         assert_eq!(call(node.callers, &id, "/calls/harmful").await.status, 502);
     }
-    let ended = ended(&deployment.applications);
-    assert!(ended <= MOST_ENDS, "{ended} back ends ended");
+    let ended = count_ended(&deployment.applications);
+    assert!(ended <= MAX_ENDS, "{ended} back ends ended");
 }
 
 /// A back end that says that it leaves while it is watched, and ends then, ended under nobody.
@@ -226,7 +228,7 @@
         .log
         .write_backends(listed(&next, APPLICATIONS, false));
     tokio::time::sleep(Duration::from_secs(2)).await;
-    assert_eq!(known_ends(&node), 0);
+    assert_eq!(count_known_ends(&node), 0);
 }
 
 /// The node that saw three back ends end under a request cannot write that down, and dies with it: the others know
@@ -235,21 +237,21 @@
 async fn ends_are_known_though_the_node_that_saw_them_dies_before_it_can_write() {
     let deployment = Deployment::start(0, 8).await;
     let backends = &deployment.applications;
-    end_by_harmful(backends);
+    end_on_harmful_requests(backends);
     let (mut sees, other) = (deployment.node("a").await, deployment.node("b").await);
     sees.set_faults(LogFaults {
         refuses_appends: true,
         ..LogFaults::default()
     });
-    for number in 0..3 * MOST_ENDS {
+    for number in 0..3 * MAX_ENDS {
         call(sees.callers, &format!("first-{number}"), "/calls/harmful").await;
     }
-    assert_eq!(ended(backends), MOST_ENDS);
+    assert_eq!(count_ended(backends), MAX_ENDS);
     sees.kill();
-    for number in 0..3 * MOST_ENDS {
+    for number in 0..3 * MAX_ENDS {
         call(other.callers, &format!("next-{number}"), "/calls/harmful").await;
     }
-    assert_eq!(ended(backends), MOST_ENDS);
+    assert_eq!(count_ended(backends), MAX_ENDS);
 }
 
 /// Guards against the same soon after a start, with sends that began before the first end: no machine had told its address
@@ -258,7 +260,7 @@
 async fn ends_are_known_though_the_node_that_saw_them_dies_soon_after_its_start() {
     let deployment = Deployment::start(0, 8).await;
     let backends = &deployment.applications;
-    end_by_harmful(backends);
+    end_on_harmful_requests(backends);
     let (mut sees, other) = (
         late_announcer(&deployment, 0).await,
         late_announcer(&deployment, 1).await,
@@ -268,17 +270,17 @@
         refuses_appends: true,
         ..LogFaults::default()
     });
-    let calls = (0..MOST_ENDS).map(|number| {
+    let calls = (0..MAX_ENDS).map(|number| {
         let address = sees.callers;
         async move { call(address, &format!("first-{number}"), "/once/harmful").await }
     });
     futures::future::join_all(calls).await;
-    assert_eq!(ended(backends), MOST_ENDS);
+    assert_eq!(count_ended(backends), MAX_ENDS);
     sees.kill();
-    for number in 0..3 * MOST_ENDS {
+    for number in 0..3 * MAX_ENDS {
         call(other.callers, &format!("next-{number}"), "/once/harmful").await;
     }
-    assert_eq!(ended(backends), MOST_ENDS);
+    assert_eq!(count_ended(backends), MAX_ENDS);
 }
 
 /// Time after its start in which a node of a small fleet has told its address.
@@ -309,26 +311,30 @@
 async fn a_request_is_not_sent_on_while_its_ends_cannot_be_told() {
     let deployment = Deployment::start(0, 8).await;
     let backends = &deployment.applications;
-    end_by_harmful(backends);
+    end_on_harmful_requests(backends);
     let node = deployment.node("a").await;
     node.set_faults(LogFaults {
         refuses_appends: true,
         ..LogFaults::default()
     });
-    for number in 0..3 * MOST_ENDS {
+    for number in 0..3 * MAX_ENDS {
         let answer = call(node.callers, &format!("first-{number}"), "/calls/harmful").await;
         assert!(answer.status.is_server_error(), "{}", answer.status);
     }
-    assert!(ended(backends) < MOST_ENDS, "{} ended", ended(backends));
+    assert!(
+        count_ended(backends) < MAX_ENDS,
+        "{} ended",
+        count_ended(backends)
+    );
     node.set_faults(LogFaults::default());
     let other = deployment.node("b").await;
     let nodes = [node, other];
-    for number in 0..3 * MOST_ENDS {
-        all_know_of_all_ends(&nodes, backends).await;
+    for number in 0..3 * MAX_ENDS {
+        wait_for_ends_known_by_all(&nodes, backends).await;
         let asked = &nodes[number % nodes.len()];
         call(asked.callers, &format!("next-{number}"), "/calls/harmful").await;
     }
-    assert_eq!(ended(backends), MOST_ENDS);
+    assert_eq!(count_ended(backends), MAX_ENDS);
 }
 
 /// Calls of which one is sent first to the back end that ends.
@@ -343,7 +349,7 @@
     call(node.callers, "honest", "/calls/honest").await;
     let served = |backend: &&Arc<StandInBackend>| !backend.seen().is_empty();
     let preferred = backends.iter().find(served).unwrap().clone();
-    end_by_harmful(&[preferred]);
+    end_on_harmful_requests(&[preferred]);
     node.set_faults(LogFaults {
         refuses_appends: true,
         ..LogFaults::default()
@@ -352,7 +358,7 @@
         let path = format!("/calls/harmful-{number}");
         let answer = call(node.callers, &format!("first-{number}"), &path).await;
         assert_eq!(answer.status, 200);
-        if ended(backends) == 1 {
+        if count_ended(backends) == 1 {
             return;
         }
     }
@@ -366,7 +372,7 @@
     let engines = &deployment.engines;
     let node = deployment.node("a").await;
     let items = [("harmful-1", "g1"), ("i2", "g2")];
-    end_by_harmful(engines);
+    end_on_harmful_requests(engines);
     node.set_faults(LogFaults {
         refuses_ends: true,
         ..LogFaults::default()
@@ -374,9 +380,13 @@
     let body = write_batch(1, &items, false);
     assert_eq!(submit(node.callers, "batch", &body).await, 202);
     tokio::time::sleep(Duration::from_secs(2)).await;
-    assert!(ended(engines) < MOST_ENDS, "{} ended", ended(engines));
+    assert!(
+        count_ended(engines) < MAX_ENDS,
+        "{} ended",
+        count_ended(engines)
+    );
     for engine in engines {
-        engine.behave(|told| told.ended_by = None);
+        engine.behave(|told| told.ends_on_path = None);
     }
     node.set_faults(LogFaults::default());
     let lines = wait_for_results(node.callers, "batch", items.len()).await;
@@ -390,7 +400,7 @@
 #[tokio::test]
 async fn datagrams_from_elsewhere_change_nothing() {
     let deployment = Deployment::start(0, 8).await;
-    end_by_harmful(&deployment.applications);
+    end_on_harmful_requests(&deployment.applications);
     let (mut sees, other) = (deployment.node("a").await, deployment.node("b").await);
     let address = reachable_at(&other).await;
     let stranger = tokio::net::UdpSocket::bind("127.0.0.1:0").await.unwrap();
@@ -407,9 +417,9 @@
         ..LogFaults::default()
     });
     call(sees.callers, "harmful", "/calls/harmful").await;
-    let before = ended(&deployment.applications);
+    let before = count_ended(&deployment.applications);
     sees.kill();
-    assert_eq!(known_ends(&other), before);
+    assert_eq!(count_known_ends(&other), before);
 }
 
 /// Where a node takes datagrams, once it has said so.
--- a/crates/gateway/tests/places.rs
+++ b/crates/gateway/tests/places.rs
@@ -34,18 +34,18 @@
     entry(backend, record)
 }
 
-fn evacuation(is_asked: bool) -> DirectoryEntry {
+fn evacuation(is_requested: bool) -> DirectoryEntry {
     DirectoryEntry::Evacuation {
         zone: ZoneName::from("other"),
-        is_asked,
+        is_requested,
     }
 }
 
-async fn set_evacuated(deployment: &Deployment, node: &TestNode, is_asked: bool) {
-    deployment.log.write_operators(evacuation(is_asked));
+async fn set_evacuated(deployment: &Deployment, node: &TestNode, is_requested: bool) {
+    deployment.log.write_operators(evacuation(is_requested));
     wait_until("the node knows of it", || {
         let backends = node.context().backends.lock();
-        backends.list.evacuated().is_empty() != is_asked
+        backends.list.evacuated().is_empty() != is_requested
     })
     .await;
 }
--- a/crates/gateway/tests/refusals.rs
+++ b/crates/gateway/tests/refusals.rs
@@ -95,7 +95,7 @@
         let headers = [("x-id", "call"), ("x-deadline", "18000")];
         send(address, Method::POST, "/calls/path", &headers, "").await
     });
-    wait_until("the call has come", || backend.at_work() == 1).await;
+    wait_until("the call has come", || backend.in_flight() == 1).await;
     deployment.log.write_backends(gone(&backend.id));
     wait_until("the node knows that it is gone", || {
         node.context().backends.lock().list.is_empty()
--- a/crates/gateway/tests/reborn.rs
+++ b/crates/gateway/tests/restarted_backends.rs
@@ -11,7 +11,7 @@
 use support::caller::{call, submit, wait_for_results};
 use support::deployment::{APPLICATIONS, Deployment, ENGINES, TestNode, listed, wait_until};
 use support::dialect::write_batch;
-use support::ends::{end_by_harmful, known_ends};
+use support::ends::{count_known_ends, end_on_harmful_requests};
 
 /// The entry of a life that started at a moment.
 fn life(backend: &StandInBackend, pool: &str, started_at: u64) -> DirectoryEntry {
@@ -103,13 +103,13 @@
         .log
         .write_backends(life(&backend, APPLICATIONS, 100));
     let node = deployment.node_that_knows("a", 1).await;
-    end_by_harmful(std::slice::from_ref(&backend));
+    end_on_harmful_requests(std::slice::from_ref(&backend));
     call(node.callers, "harmful", "/calls/harmful").await;
-    wait_until("the end is known", || known_ends(&node) == 1).await;
+    wait_until("the end is known", || count_known_ends(&node) == 1).await;
     let next = StandInBackend::start_at("application", backend.address).await;
     for id in ["one", "two", "three"] {
         assert_eq!(call(node.callers, id, "/calls/a").await.status, 200);
     }
     assert_eq!(next.seen().len(), 3);
-    assert_eq!(known_ends(&node), 1);
+    assert_eq!(count_known_ends(&node), 1);
 }
--- a/crates/gateway/tests/reward_pace.rs
+++ b/crates/gateway/tests/reward_pace.rs
@@ -40,7 +40,7 @@
     let node = deployment.node("a").await;
     for application in &deployment.applications {
         application.behave(|told| {
-            told.places = Some(PLACES);
+            told.slots = Some(PLACES);
             told.call_time = CALL_TIME;
         });
     }
@@ -56,7 +56,7 @@
     let turned_away: usize = deployment
         .applications
         .iter()
-        .map(|application| application.turned_away())
+        .map(|application| application.rejected_calls())
         .sum();
     println!("{served} of {CALLS} calls served, {turned_away} turned away");
     assert!(served * 10 >= CALLS * 9, "{served} of {CALLS} served");
--- a/crates/gateway/tests/support/backend.rs
+++ b/crates/gateway/tests/support/backend.rs
@@ -48,16 +48,16 @@
     /// Time that a call takes.
     pub call_time: Duration,
     /// Calls that it works at together; it turns away more. Any number without it.
-    pub places: Option<usize>,
+    pub slots: Option<usize>,
     /// Its process ends a moment after it begins to work at a request whose path contains this, also if its
     /// caller has left by then.
-    pub ended_by: Option<String>,
+    pub ends_on_path: Option<String>,
     /// Its process ends a moment after it begins to load this version.
-    pub ended_by_version: Option<u64>,
+    pub ends_on_version: Option<u64>,
     /// Time that a load of weights takes, in which streams pause.
     pub load_time: Duration,
     /// Time for which a process that ends still listens after its connections closed.
-    pub listens_on: Duration,
+    pub listen_time_after_end: Duration,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -79,7 +79,7 @@
 
 /// A request as the back end saw it.
 #[derive(Debug, Clone)]
-pub struct Seen {
+pub struct ReceivedRequest {
     pub path: String,
     pub headers: HeaderMap,
     pub body: Bytes,
@@ -87,7 +87,7 @@
     pub at: Instant,
 }
 
-impl Seen {
+impl ReceivedRequest {
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).and_then(|value| value.to_str().ok())
     }
@@ -98,26 +98,26 @@
     pub id: String,
     pub address: SocketAddr,
     behaviour: Mutex<Behaviour>,
-    seen: Mutex<Vec<Seen>>,
+    seen: Mutex<Vec<ReceivedRequest>>,
     loads_until: Mutex<Option<Instant>>,
     orders: Mutex<Vec<(String, Instant)>>,
-    at_work: Arc<AtomicUsize>,
-    turned_away: AtomicUsize,
+    in_flight: Arc<AtomicUsize>,
+    rejected_calls: AtomicUsize,
     breaks: Notify,
     ended: watch::Sender<bool>,
 }
 
 /// Counts a request as under way until its answer is sent or its connection is gone.
-struct AtWork(Arc<AtomicUsize>);
+struct InFlight(Arc<AtomicUsize>);
 
-impl AtWork {
+impl InFlight {
     fn new(count: &Arc<AtomicUsize>) -> Self {
         count.fetch_add(1, Ordering::Relaxed);
         Self(count.clone())
     }
 }
 
-impl Drop for AtWork {
+impl Drop for InFlight {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
@@ -140,11 +140,11 @@
             refuses_orders: false,
             call: CallBehaviour::Answer,
             call_time: Duration::ZERO,
-            places: None,
-            ended_by: None,
-            ended_by_version: None,
+            slots: None,
+            ends_on_path: None,
+            ends_on_version: None,
             load_time: Duration::ZERO,
-            listens_on: Duration::ZERO,
+            listen_time_after_end: Duration::ZERO,
         };
         let backend = Arc::new(Self {
             id: id.to_owned(),
@@ -153,8 +153,8 @@
             seen: Mutex::default(),
             loads_until: Mutex::default(),
             orders: Mutex::default(),
-            at_work: Arc::default(),
-            turned_away: AtomicUsize::new(0),
+            in_flight: Arc::default(),
+            rejected_calls: AtomicUsize::new(0),
             breaks: Notify::new(),
             ended: watch::Sender::new(false),
         });
@@ -167,18 +167,18 @@
     }
 
     /// Requests for calls and items, in the order they came.
-    pub fn seen(&self) -> Vec<Seen> {
+    pub fn seen(&self) -> Vec<ReceivedRequest> {
         self.seen.lock().unwrap().clone()
     }
 
     /// Requests for calls and items that it works at now. It drops one whose connection closes.
-    pub fn at_work(&self) -> usize {
-        self.at_work.load(Ordering::Relaxed)
+    pub fn in_flight(&self) -> usize {
+        self.in_flight.load(Ordering::Relaxed)
     }
 
     /// Calls for which it had no place.
-    pub fn turned_away(&self) -> usize {
-        self.turned_away.load(Ordering::Relaxed)
+    pub fn rejected_calls(&self) -> usize {
+        self.rejected_calls.load(Ordering::Relaxed)
     }
 
     /// Breaks the connections of calls that get no answer.
@@ -254,7 +254,7 @@
         };
         let Some(stream) = stream else {
             connections.shutdown().await;
-            return tokio::time::sleep(backend.behaviour().listens_on).await;
+            return tokio::time::sleep(backend.behaviour().listen_time_after_end).await;
         };
         let backend = backend.clone();
         connections.spawn(async move {
@@ -302,16 +302,16 @@
     if expected.is_some_and(|expected| expected != backend.id) {
         return Ok(whole(StatusCode::MISDIRECTED_REQUEST, String::new()));
     }
-    let seen = Seen {
+    let seen = ReceivedRequest {
         path: path.clone(),
         headers: head.headers,
         body,
         at: Instant::now(),
     };
-    let at_work = AtWork::new(&backend.at_work);
+    let in_flight = InFlight::new(&backend.in_flight);
     backend.seen.lock().unwrap().push(seen.clone());
-    let ended_by = backend.behaviour().ended_by;
-    if ended_by.is_some_and(|fragment| path.contains(&fragment)) {
+    let ends_on_path = backend.behaviour().ends_on_path;
+    if ends_on_path.is_some_and(|fragment| path.contains(&fragment)) {
         // Not dropped with the connection: what ends a process does not ask whether anybody waits.
         let ending = backend.clone();
         tokio::spawn(async move {
@@ -321,7 +321,7 @@
         std::future::pending::<()>().await;
     }
     if path.starts_with("/items/") || path.starts_with("/streams/") {
-        return Ok(run_item(&backend, &seen, at_work));
+        return Ok(run_item(&backend, &seen, in_flight));
     }
     run_call(&backend, &seen).await
 }
@@ -342,7 +342,7 @@
     }
     let order = String::from_utf8(body.to_vec()).unwrap();
     let version: u64 = order.split(' ').nth(1).unwrap().parse().unwrap();
-    if backend.behaviour().ended_by_version == Some(version) {
+    if backend.behaviour().ends_on_version == Some(version) {
         backend.orders.lock().unwrap().push((order, Instant::now()));
         end_soon(backend);
         return whole(StatusCode::ACCEPTED, String::new());
@@ -353,15 +353,18 @@
     whole(StatusCode::OK, String::new())
 }
 
-async fn run_call(backend: &StandInBackend, seen: &Seen) -> Result<Response<Body>, Broken> {
+async fn run_call(
+    backend: &StandInBackend,
+    seen: &ReceivedRequest,
+) -> Result<Response<Body>, Broken> {
     let told = backend.behaviour();
-    let is_full = told.places.is_some_and(|places| backend.at_work() > places);
+    let is_full = told.slots.is_some_and(|slots| backend.in_flight() > slots);
     let behaviour = match is_full {
         true => CallBehaviour::NotRun,
         false => told.call,
     };
     if is_full {
-        backend.turned_away.fetch_add(1, Ordering::Relaxed);
+        backend.rejected_calls.fetch_add(1, Ordering::Relaxed);
     } else {
         tokio::time::sleep(told.call_time).await;
     }
@@ -411,7 +414,11 @@
 }
 
 /// Each event's data names the item and the event, so that gaps and repetitions show.
-fn run_item(backend: &Arc<StandInBackend>, seen: &Seen, at_work: AtWork) -> Response<Body> {
+fn run_item(
+    backend: &Arc<StandInBackend>,
+    seen: &ReceivedRequest,
+    in_flight: InFlight,
+) -> Response<Body> {
     let behaviour = backend.behaviour();
     let item = seen.path.rsplit('/').next().unwrap_or_default().to_owned();
     let from: u32 = seen
@@ -423,7 +430,7 @@
     let padding = "x".repeat(behaviour.event_padding);
     let backend = backend.clone();
     let frames = stream::unfold((from, behaviour.version), move |(at, version)| {
-        let _held = &at_work;
+        let _held = &in_flight;
         let (item, backend, padding) = (item.clone(), backend.clone(), padding.clone());
         async move {
             if breaks_after.is_some_and(|count| at - from >= count) {
--- a/crates/gateway/tests/support/deployment.rs
+++ b/crates/gateway/tests/support/deployment.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use havenstage_gateway::context::Context;
-use havenstage_gateway::edge::{DirectoryEntry, Surroundings};
+use havenstage_gateway::edge::{DirectoryEntry, NodeDependencies};
 use havenstage_gateway::node::{self, RunningNode};
 use havenstage_gateway::operations::OperationsApi;
 use havenstage_gateway::settings::Settings;
@@ -56,7 +56,7 @@
         settings: Settings,
         platform: Option<Arc<StandInOperations>>,
     ) -> Self {
-        let surroundings = Surroundings {
+        let dependencies = NodeDependencies {
             log: log.clone(),
             checkpoints: log.clone(),
             directory: log.clone(),
@@ -68,7 +68,7 @@
             .enable_all()
             .build()
             .unwrap();
-        let started = runtime.spawn(async move { node::start(settings, surroundings).await });
+        let started = runtime.spawn(async move { node::start(settings, dependencies).await });
         let running = started.await.unwrap().unwrap();
         let (callers, context) = (running.callers_address(), running.context().clone());
         Self {
--- a/crates/gateway/tests/support/leaving.rs
+++ b/crates/gateway/tests/support/leaving.rs
@@ -44,7 +44,9 @@
 }
 
 pub fn at_work(deployment: &Deployment) -> usize {
-    backends(deployment).map(|backend| backend.at_work()).sum()
+    backends(deployment)
+        .map(|backend| backend.in_flight())
+        .sum()
 }
 
 pub fn sends(deployment: &Deployment) -> usize {
--- a/crates/gateway/tests/support/store_contract.rs
+++ b/crates/gateway/tests/support/store_contract.rs
@@ -74,7 +74,7 @@
                 .unwrap();
             told.extend(page.entries.iter().map(backend));
             from = page.next;
-            if page.behind == 0 {
+            if page.remaining == 0 {
                 return (told, from);
             }
             assert!(!page.entries.is_empty(), "a page brings at least one entry");
--- a/crates/memory-store/src/entry_log.rs
+++ b/crates/memory-store/src/entry_log.rs
@@ -86,11 +86,11 @@
             .map(|(_, kept)| kept.entry.clone())
             .collect();
         let next_unread = rest.next().map(|(offset, _)| *offset);
-        let behind = rest.count() + usize::from(next_unread.is_some());
+        let remaining = rest.count() + usize::from(next_unread.is_some());
         Ok(DirectoryPage {
             entries,
             next: next_unread.unwrap_or(self.end.max(from)),
-            behind: behind as u64,
+            remaining: remaining as u64,
         })
     }
 
--- a/crates/memory-store/tests/bounds.rs
+++ b/crates/memory-store/tests/bounds.rs
@@ -106,9 +106,9 @@
 #[tokio::test]
 async fn changes_of_the_operators_directory_tell_the_newest_entry_of_each_name() {
     let store = store(|_| {});
-    let evacuation = |zone: &str, is_asked| DirectoryEntry::Evacuation {
+    let evacuation = |zone: &str, is_requested| DirectoryEntry::Evacuation {
         zone: ZoneName::from(zone),
-        is_asked,
+        is_requested,
     };
     let entries = [
         evacuation("a", true),
@@ -120,12 +120,14 @@
     let kind = DirectoryKind::Operators;
     let page = store.changes(kind, 0, Duration::ZERO, ALL_CHANGES);
     let page = page.await.unwrap();
-    assert_eq!((page.next, page.behind), (3, 0));
+    assert_eq!((page.next, page.remaining), (3, 0));
     let told: Vec<(&str, bool)> = page
         .entries
         .iter()
         .filter_map(|entry| match entry {
-            DirectoryEntry::Evacuation { zone, is_asked } => Some((zone.as_str(), *is_asked)),
+            DirectoryEntry::Evacuation { zone, is_requested } => {
+                Some((zone.as_str(), *is_requested))
+            }
             _ => None,
         })
         .collect();
--- a/crates/service/src/operators/known.rs
+++ b/crates/service/src/operators/known.rs
@@ -96,7 +96,7 @@
         let asked_at = Instant::now();
         let page = self.directory.changes(kind, from, wait, most_bytes).await?;
         self.note_entries(&page.entries);
-        if page.behind == 0 {
+        if page.remaining == 0 {
             self.note_read(kind, asked_at);
         }
         Ok(page)
--- a/crates/service/src/serve.rs
+++ b/crates/service/src/serve.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use havenstage_gateway::edge::Surroundings;
+use havenstage_gateway::edge::NodeDependencies;
 use havenstage_gateway::node::{self, NodeError, RunningNode};
 use havenstage_memory_store::{InvalidStoreSetting, MemoryStore};
 use log::{error, info};
@@ -113,14 +113,14 @@
         versions.clone(),
     );
     let directory = Arc::new(KnownDirectory::new(store.clone()));
-    let surroundings = Surroundings {
+    let dependencies = NodeDependencies {
         log: store.clone(),
         checkpoints: store,
         directory: directory.clone(),
         dialect: Arc::new(HavenstageDialect::new()),
         operations: None,
     };
-    let node = node::start(settings.gateway(), surroundings).await?;
+    let node = node::start(settings.gateway(), dependencies).await?;
     let state = OperatorState {
         context: node.context().clone(),
         directory,
