--- a/crates/gateway/src/access.rs
+++ b/crates/gateway/src/access.rs
@@ -11,8 +11,8 @@
 use crate::context::Context;
 use crate::edge::HeaderNames;
 use crate::metrics;
-use crate::request_head::host_of;
-use crate::responses::{Body, plain};
+use crate::request_head::request_host;
+use crate::responses::{Body, empty_response};
 
 /// Who makes a request on a route. That it is turned away is told.
 pub(crate) fn admit(
@@ -31,14 +31,14 @@
     let Some(table) = context.routes_soon().await else {
         return Ok(Caller::Unverified);
     };
-    let host = host_of(head).unwrap_or_default();
+    let host = request_host(head).unwrap_or_default();
     let caller = presented_key(context, head).and_then(|key| table.admit_to_batches(&host, key));
     caller.inspect_err(|denied| tell_denied(context, &table, head, *denied))
 }
 
 /// The answer to a caller that is turned away.
-pub(crate) fn denial() -> Response<Body> {
-    plain(StatusCode::UNAUTHORIZED)
+pub(crate) fn unauthorized() -> Response<Body> {
+    empty_response(StatusCode::UNAUTHORIZED)
 }
 
 /// The key that a request presents. One that cannot be a key, or several, are a key that nobody holds.
@@ -67,7 +67,7 @@
 
 /// Puts the tenant's name into the headers for a back end and takes out what the caller said of that: its key
 /// is a secret, and the name is the system's word.
-pub(crate) fn name_tenant(
+pub(crate) fn set_tenant_header(
     names: &HeaderNames,
     headers: &mut HeaderMap,
     tenant: Option<&TenantName>,
--- a/crates/gateway/src/batch_knowledge.rs
+++ b/crates/gateway/src/batch_knowledge.rs
@@ -27,7 +27,7 @@
 impl Context {
     /// Whether work may be started for the open batches of a partition.
     pub fn may_start_work(&self, partition: &BatchView) -> bool {
-        partition.may_be_acted_on(self.now(), self.end_share_ms(START_SHARE))
+        partition.is_usable(self.now(), self.end_share_ms(START_SHARE))
     }
 
     /// Time after which nothing may be written of a request that is made for a batch; `None` if nothing
@@ -37,7 +37,7 @@
         let (began, now) = (Instant::now(), self.now());
         let inner = self.partition_of(batch).lock();
         inner.state.batch(batch).filter(|state| !state.ended)?;
-        let until = inner.actable_until(self.end_share_ms(WRITE_SHARE))?;
+        let until = inner.usable_until(self.end_share_ms(WRITE_SHARE))?;
         let left = until.checked_sub(now)?;
         Some(began + Duration::from_millis(left))
     }
--- a/crates/gateway/src/batch_partitions.rs
+++ b/crates/gateway/src/batch_partitions.rs
@@ -112,7 +112,7 @@
                 view.lock().state.forget_before(before);
                 continue;
             }
-            view.forget_all_before(before);
+            view.forget_if_older_than(before);
             // Somebody may have asked for a task meanwhile, and found this one in its place.
             if !view.end_following(now) {
                 self.send_follow_request(index);
--- a/crates/gateway/src/batch_server.rs
+++ b/crates/gateway/src/batch_server.rs
@@ -15,8 +15,8 @@
 use crate::context::Context;
 use crate::edge::BatchCall;
 use crate::metrics;
-use crate::request_head::{header_ms, host_of};
-use crate::responses::{Body, COME_BACK, plain, refuse, whole_body};
+use crate::request_head::{header_ms, request_host};
+use crate::responses::{Body, DEFAULT_RETRY_AFTER, empty_response, full_body, refuse};
 use crate::{access, batch_ends, batch_reads, batch_submissions};
 
 /// Tells of a caller that left before its answer: its call is dropped then, wherever it stands.
@@ -60,13 +60,13 @@
     began: Instant,
 ) -> Response<Body> {
     if head.method != Method::POST {
-        return plain(StatusCode::METHOD_NOT_ALLOWED);
+        return empty_response(StatusCode::METHOD_NOT_ALLOWED);
     }
     let id = head.headers.get(&context.dialect.headers().request_id);
     let Some(id) = id.and_then(|id| id.to_str().ok()) else {
-        return plain(StatusCode::BAD_REQUEST);
+        return empty_response(StatusCode::BAD_REQUEST);
     };
-    let host = &host_of(head).unwrap_or_default();
+    let host = &request_host(head).unwrap_or_default();
     let path = head.uri.path();
     let waits = WaitingCaller::new("submit", id, began);
     let read = context
@@ -93,7 +93,7 @@
 ) -> Response<Body> {
     let caller = match access::admit_to_batches(context, head).await {
         Ok(caller) => caller,
-        Err(_) => return access::denial(),
+        Err(_) => return access::unauthorized(),
     };
     match call {
         BatchCall::Read { batch, from } => {
@@ -116,7 +116,7 @@
             waits.answered();
             batch_response(context, "end", answer, began)
         }
-        BatchCall::Malformed => plain(StatusCode::BAD_REQUEST),
+        BatchCall::Malformed => empty_response(StatusCode::BAD_REQUEST),
     }
 }
 
@@ -129,9 +129,9 @@
     let took_ms = began.elapsed().as_millis() as u64;
     metrics::batch_call_ended(kind, answer.status.as_u16(), took_ms);
     if answer.status == StatusCode::SERVICE_UNAVAILABLE {
-        return refuse(answer.status, COME_BACK);
+        return refuse(answer.status, DEFAULT_RETRY_AFTER);
     }
-    let mut response = Response::new(whole_body(answer.body));
+    let mut response = Response::new(full_body(answer.body));
     *response.status_mut() = answer.status;
     if answer.is_own_format {
         let content_type = HeaderValue::from_static(context.dialect.content_type());
--- a/crates/gateway/src/caller_stream.rs
+++ b/crates/gateway/src/caller_stream.rs
@@ -21,7 +21,7 @@
 pub(crate) struct CloseWatch(Arc<TcpStream>);
 
 /// Both parts of a connection.
-pub(crate) fn watched(stream: TcpStream) -> (CallerStream, CloseWatch) {
+pub(crate) fn split_with_close_watch(stream: TcpStream) -> (CallerStream, CloseWatch) {
     let stream = Arc::new(stream);
     (CallerStream(stream.clone()), CloseWatch(stream))
 }
--- a/crates/gateway/src/calls.rs
+++ b/crates/gateway/src/calls.rs
@@ -84,7 +84,7 @@
     /// It did not run and will not; its caller may come back after the pause.
     Refused {
         /// When to come back.
-        come_back: Duration,
+        retry_after: Duration,
     },
     /// It may have run, and no answer can be given.
     Failed {
@@ -144,7 +144,7 @@
 /// The end of a call that nobody took.
 pub(crate) fn refused() -> CallOutcome {
     CallOutcome::Refused {
-        come_back: COME_BACK,
+        retry_after: COME_BACK,
     }
 }
 
@@ -152,7 +152,7 @@
 /// that is gone is away for longer.
 pub(crate) fn refused_for_want_of_back_ends(route: &Route) -> CallOutcome {
     CallOutcome::Refused {
-        come_back: share_of_objective(route, ABSENT_SHARE).max(COME_BACK),
+        retry_after: share_of_objective(route, ABSENT_SHARE).max(COME_BACK),
     }
 }
 
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -38,7 +38,7 @@
 use crate::operations::OperationsApi;
 use crate::peer_notices::PeerSocket;
 use crate::peers::Peers;
-use crate::reward_pace::RewardPace;
+use crate::reward_limiter::RewardLimiter;
 use crate::settings::Settings;
 use crate::stream_view::StreamView;
 
@@ -151,7 +151,7 @@
     pub(crate) watched: Watched,
     /// Where datagrams of other nodes come in, if the node listens for them.
     pub(crate) peer_socket: OnceLock<PeerSocket>,
-    pub(crate) reward_pace: RewardPace,
+    pub(crate) reward_limiter: RewardLimiter,
     /// Set once the node was told to stop.
     pub stopping: AtomicBool,
     /// When the process ends, once the node was told to stop.
@@ -233,7 +233,7 @@
             crash_guard: CrashGuard::default(),
             watched: Watched::default(),
             peer_socket: OnceLock::new(),
-            reward_pace: RewardPace::new(clock),
+            reward_limiter: RewardLimiter::new(clock),
             stopping: AtomicBool::new(false),
             ends_at: OnceLock::new(),
             releasing: AtomicBool::new(false),
--- a/crates/gateway/src/engine/reward.rs
+++ b/crates/gateway/src/engine/reward.rs
@@ -97,13 +97,13 @@
         };
     };
     let share = context.share_of_places(pool);
-    let turn = context.reward_pace.turn(pool, share).await;
+    let permit = context.reward_limiter.acquire(pool, share).await;
     let began = Instant::now();
     if !is_in_force(context, routes.as_deref()) {
         return Try::Moved;
     }
     let Some(call) = reward_call(context, batch, reward) else {
-        drop(turn);
+        drop(permit);
         // It can never be made; its item is given up when its time is over.
         return std::future::pending().await;
     };
@@ -114,7 +114,7 @@
         // Its turn is over only then: else the next call would find the same full pool a millisecond later.
         tokio::time::sleep(TURNED_AWAY_PAUSE).await;
     }
-    turn.ended(end);
+    permit.finish(end);
     if let Some(score) = score_in(context, &executed.outcome) {
         return Try::Scored(score);
     }
--- a/crates/gateway/src/engine/run.rs
+++ b/crates/gateway/src/engine/run.rs
@@ -221,7 +221,7 @@
     };
     let sending = Sending::within(HEAD_TIMEOUT)
         .written_by(order.write_by)
-        .patient_for(send::HEAD_PATIENCE)
+        .patient_for(send::HEAD_SILENCE_TIMEOUT)
         .ended_when_silent();
     let answer = match backend.link.send_as(request.clone(), sending).await {
         // Closed with a reset, which cancels what may have begun; the rest of the connections is closed
@@ -280,7 +280,7 @@
         headers.insert(name, HeaderValue::from_str(&header.value).ok()?);
     }
     send::remove_connection_headers(headers);
-    access::name_tenant(names, headers, order.tenant.as_ref());
+    access::set_tenant_header(names, headers, order.tenant.as_ref());
     headers.insert(HOST, HeaderValue::from_str(&order.host).ok()?);
     let id = HeaderValue::from_str(order.key.item.as_str()).ok()?;
     headers.insert(names.request_id.clone(), id);
--- a/crates/gateway/src/followers.rs
+++ b/crates/gateway/src/followers.rs
@@ -226,14 +226,14 @@
         .settings
         .read_wait()
         .max(Duration::from_millis(gap_ms * 2));
-    view.lock().usual_gap_ms = gap_ms + wait.as_millis() as u64;
+    view.lock().expected_read_interval_ms = gap_ms + wait.as_millis() as u64;
     let asked = context.now();
     let from = view.lock().next;
     match context.log.read(view.id, from, wait).await {
         Ok(page) => {
             dependency.works();
             context.saw_contact();
-            let outcome = view.take_page(page, asked, context.now());
+            let outcome = view.apply_page(page, asked, context.now());
             if outcome.unreadable > 0 {
                 warn!(event = "records_unreadable", dependency = dependency.name.as_str(),
                     count = outcome.unreadable; "");
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -51,7 +51,7 @@
 mod repeated_append;
 mod request_head;
 mod responses;
-mod reward_pace;
+mod reward_limiter;
 pub mod send;
 pub mod server;
 pub mod settings;
--- a/crates/gateway/src/peers/server.rs
+++ b/crates/gateway/src/peers/server.rs
@@ -26,7 +26,7 @@
 use crate::caller_stream;
 use crate::context::Context;
 use crate::metrics;
-use crate::responses::{Body, plain, whole_body};
+use crate::responses::{Body, empty_response, full_body};
 use crate::server::{accept, read_body};
 
 /// Path of questions.
@@ -72,7 +72,7 @@
         let context = context.clone();
         async move { Ok::<_, Infallible>(handle(context, request).await) }
     });
-    let (stream, watch) = caller_stream::watched(stream);
+    let (stream, watch) = caller_stream::split_with_close_watch(stream);
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(IDLE_TIMEOUT)
@@ -90,14 +90,14 @@
 async fn handle(context: Arc<Context>, request: Request<Incoming>) -> Response<Body> {
     let (head, body) = request.into_parts();
     if head.method != Method::POST || head.uri.path() != PATH {
-        return plain(StatusCode::NOT_FOUND);
+        return empty_response(StatusCode::NOT_FOUND);
     }
     let Ok(place) = context.peers.questions.clone().try_acquire_owned() else {
         return declined(PeerRefusal::Overloaded);
     };
     let body = match read_body(body, MOST_QUESTION_BYTES).await {
         Ok(body) => body,
-        Err(status) => return plain(status),
+        Err(status) => return empty_response(status),
     };
     let request = match PeerRequest::decode(&body) {
         Ok(request) => request,
@@ -113,7 +113,7 @@
 fn declined(refusal: PeerRefusal) -> Response<Body> {
     metrics::peer_answered(refusal.name(), 0);
     let answer = PeerAnswer::Declined(refusal);
-    Response::new(whole_body(Bytes::from(answer.encode())))
+    Response::new(full_body(Bytes::from(answer.encode())))
 }
 
 /// What an answer holds until it is taken.
--- a/crates/gateway/src/request_head.rs
+++ b/crates/gateway/src/request_head.rs
@@ -12,7 +12,7 @@
 }
 
 /// The host that a request names.
-pub(crate) fn host_of(head: &Parts) -> Option<String> {
+pub(crate) fn request_host(head: &Parts) -> Option<String> {
     let named = head.uri.host().map(str::to_owned);
     named.or_else(|| Some(head.headers.get(HOST)?.to_str().ok()?.to_owned()))
 }
--- a/crates/gateway/src/responses.rs
+++ b/crates/gateway/src/responses.rs
@@ -14,26 +14,26 @@
 pub(crate) type Body = UnsyncBoxBody<Bytes, StreamBroken>;
 
 /// Time after which callers whose call could not be served at this moment may come back.
-pub(crate) const COME_BACK: Duration = Duration::from_millis(100);
+pub(crate) const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 /// A body that is there whole.
-pub(crate) fn whole_body(bytes: Bytes) -> Body {
+pub(crate) fn full_body(bytes: Bytes) -> Body {
     Full::new(bytes)
         .map_err(|never| match never {})
         .boxed_unsync()
 }
 
 /// An answer without a body.
-pub(crate) fn plain(status: StatusCode) -> Response<Body> {
-    let mut response = Response::new(whole_body(Bytes::new()));
+pub(crate) fn empty_response(status: StatusCode) -> Response<Body> {
+    let mut response = Response::new(full_body(Bytes::new()));
     *response.status_mut() = status;
     response
 }
 
 /// A refusal that tells the caller when to come back, in seconds with fractions.
-pub(crate) fn refuse(status: StatusCode, come_back: Duration) -> Response<Body> {
-    let mut response = plain(status);
-    let seconds = format!("{:.3}", come_back.as_secs_f64());
+pub(crate) fn refuse(status: StatusCode, retry_after: Duration) -> Response<Body> {
+    let mut response = empty_response(status);
+    let seconds = format!("{:.3}", retry_after.as_secs_f64());
     if let Ok(value) = HeaderValue::from_str(&seconds) {
         response.headers_mut().insert(RETRY_AFTER, value);
     }
--- a/crates/gateway/src/send.rs
+++ b/crates/gateway/src/send.rs
@@ -28,7 +28,7 @@
 const CUT_SHORT: &str = "cut_short";
 /// Time without a head after which a kept connection may count as silent, for work that would be begun
 /// anew: an engine reads the input before it answers.
-pub(crate) const HEAD_PATIENCE: Duration = Duration::from_millis(600);
+pub(crate) const HEAD_SILENCE_TIMEOUT: Duration = Duration::from_millis(600);
 /// Outcome of a send without an answer.
 pub(crate) const SILENT: &str = "silent";
 
@@ -50,7 +50,9 @@
             sending = sending.over_one_heard_since(moment);
         }
         if self.ends_when_silent {
-            sending = sending.patient_for(HEAD_PATIENCE).ended_when_silent();
+            sending = sending
+                .patient_for(HEAD_SILENCE_TIMEOUT)
+                .ended_when_silent();
         }
         sending
     }
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -33,8 +33,8 @@
 use crate::calls::{self, Call, CallOutcome};
 use crate::context::Context;
 use crate::relay::Relay;
-use crate::request_head::{header_ms, host_of};
-use crate::responses::{Body, COME_BACK, plain, refuse, whole_body};
+use crate::request_head::{header_ms, request_host};
+use crate::responses::{Body, DEFAULT_RETRY_AFTER, empty_response, full_body, refuse};
 use crate::send;
 
 /// Age of the last answer of the log up to which a node calls itself ready.
@@ -161,7 +161,7 @@
             Ok::<_, Infallible>(hold_until_sent(response, guard))
         }
     });
-    let (stream, watch) = caller_stream::watched(stream);
+    let (stream, watch) = caller_stream::split_with_close_watch(stream);
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(idle)
@@ -205,26 +205,26 @@
     let Some(table) = context.routes_soon().await else {
         info!(event = "no_configuration", request = request_id(context, &head).as_str(),
             contact_age_ms = context.contact_age(), status = 503u16; "");
-        return refuse(StatusCode::SERVICE_UNAVAILABLE, COME_BACK);
+        return refuse(StatusCode::SERVICE_UNAVAILABLE, DEFAULT_RETRY_AFTER);
     };
-    let host = host_of(&head).unwrap_or_default();
+    let host = request_host(&head).unwrap_or_default();
     let Some(route) = table.find(&host, head.uri.path()).cloned() else {
         return no_route(context, &head, &host, table.version());
     };
     let caller = match access::admit(context, &table, &route, &head) {
         Ok(caller) => caller,
-        Err(_) => return access::denial(),
+        Err(_) => return access::unauthorized(),
     };
     let Some(id) = head
         .headers
         .get(&context.dialect.headers().request_id)
         .cloned()
     else {
-        return plain(StatusCode::BAD_REQUEST);
+        return empty_response(StatusCode::BAD_REQUEST);
     };
     let body = match read_body(body, table.limits().body_bytes).await {
         Ok(body) => body,
-        Err(status) => return plain(status),
+        Err(status) => return empty_response(status),
     };
     if route.kind == RequestKind::Batch {
         return handle_submission(context, &caller, &head, body, began).await;
@@ -244,8 +244,8 @@
         path = head.uri.path(), routes_version = routes_version, age_ms = age_ms,
         status = status.as_u16(); "");
     match status {
-        StatusCode::NOT_FOUND => plain(status),
-        _ => refuse(status, COME_BACK),
+        StatusCode::NOT_FOUND => empty_response(status),
+        _ => refuse(status, DEFAULT_RETRY_AFTER),
     }
 }
 
@@ -281,7 +281,7 @@
     let mut headers = head.headers;
     send::remove_connection_headers(&mut headers);
     headers.remove(&names.expected_backend);
-    access::name_tenant(names, &mut headers, caller.tenant());
+    access::set_tenant_header(names, &mut headers, caller.tenant());
     if matches!(route.kind, RequestKind::Stream { .. }) {
         // It shares engines with items, which tell theirs.
         let rank = caller.priority().unwrap_or(route.priority);
@@ -306,14 +306,16 @@
         CallOutcome::Streaming(streaming) => {
             pass_on_stream(Relay::new(context.clone(), route, *streaming))
         }
-        CallOutcome::Refused { come_back } => refuse(StatusCode::SERVICE_UNAVAILABLE, come_back),
-        CallOutcome::Failed { status } => plain(status),
-        CallOutcome::Barred => plain(calls::BARRED_STATUS),
+        CallOutcome::Refused { retry_after } => {
+            refuse(StatusCode::SERVICE_UNAVAILABLE, retry_after)
+        }
+        CallOutcome::Failed { status } => empty_response(status),
+        CallOutcome::Barred => empty_response(calls::BARRED_STATUS),
     }
 }
 
 fn pass_on(answer: WholeAnswer) -> Response<Body> {
-    let mut response = Response::new(whole_body(answer.body));
+    let mut response = Response::new(full_body(answer.body));
     *response.status_mut() = answer.status;
     let mut headers = answer.headers;
     send::remove_connection_headers(&mut headers);
@@ -369,7 +371,7 @@
                     (true, true) => StatusCode::OK,
                     (true, false) => StatusCode::SERVICE_UNAVAILABLE,
                 };
-                async move { Ok::<_, Infallible>(plain(status)) }
+                async move { Ok::<_, Infallible>(empty_response(status)) }
             });
             let _ = reader_server()
                 .serve_connection(TokioIo::new(stream), service)
@@ -391,7 +393,7 @@
         tokio::spawn(async move {
             let service = service_fn(|_: Request<Incoming>| {
                 let text = Bytes::from(handle.render());
-                async move { Ok::<_, Infallible>(Response::new(whole_body(text))) }
+                async move { Ok::<_, Infallible>(Response::new(full_body(text))) }
             });
             let _ = reader_server()
                 .serve_connection(TokioIo::new(stream), service)
--- a/crates/gateway/src/stream_view.rs
+++ b/crates/gateway/src/stream_view.rs
@@ -102,7 +102,7 @@
     /// Whether it was told that the first records were gone before anything was read.
     has_told_lost_beginning: bool,
     /// Time between two reads that is nothing unusual.
-    pub usual_gap_ms: Millis,
+    pub expected_read_interval_ms: Millis,
 }
 
 impl<S> ViewInner<S> {
@@ -113,7 +113,7 @@
 
     /// Until when what is known here may be acted on, if it may up to `most_age` after it was confirmed;
     /// `None` if it never was. Reads that fail here change nothing: the log may serve other nodes.
-    pub fn actable_until(&self, most_age: Millis) -> Option<Millis> {
+    pub fn usable_until(&self, most_age: Millis) -> Option<Millis> {
         self.confirmed.map(|confirmed| confirmed + most_age)
     }
 
@@ -128,7 +128,7 @@
     }
 
     fn is_current(&self, now: Millis) -> bool {
-        let longest_gap = LONGEST_GAP_MS + self.usual_gap_ms;
+        let longest_gap = LONGEST_GAP_MS + self.expected_read_interval_ms;
         self.last_success > 0 && now.saturating_sub(self.last_success) <= longest_gap
     }
 }
@@ -185,7 +185,7 @@
             is_caught_up: false,
             failed: FailedReads::default(),
             has_told_lost_beginning: false,
-            usual_gap_ms: 0,
+            expected_read_interval_ms: 0,
         };
         Self {
             id,
@@ -257,7 +257,7 @@
     }
 
     /// Takes a page that was asked for at `asked`.
-    pub fn take_page(&self, page: LogPage, asked: Millis, now: Millis) -> PageOutcome {
+    pub fn apply_page(&self, page: LogPage, asked: Millis, now: Millis) -> PageOutcome {
         let mut inner = self.lock();
         if !inner.is_current(now) {
             inner.readable_since = now;
@@ -319,8 +319,8 @@
     }
 
     /// Whether what is known here may be acted on: it is at most `most_age` old.
-    pub fn may_be_acted_on(&self, now: Millis, most_age: Millis) -> bool {
-        let until = self.lock().actable_until(most_age);
+    pub fn is_usable(&self, now: Millis, most_age: Millis) -> bool {
+        let until = self.lock().usable_until(most_age);
         until.is_some_and(|until| now <= until)
     }
 
@@ -414,7 +414,7 @@
             let asked = clock.now();
             match log.read(self.id, from, Duration::ZERO).await {
                 Ok(page) => {
-                    self.take_page(page, asked, clock.now());
+                    self.apply_page(page, asked, clock.now());
                     self.lock().failed.end();
                 }
                 // One that leads no further is a failure, else this loop would never end.
@@ -436,7 +436,7 @@
     /// when somebody asks again, so that nothing is forgotten here that the log still holds. Only for a
     /// partition that no task follows; one that is being read is left as it is, since the page on its way
     /// begins where this node was.
-    pub fn forget_all_before(&self, before: Millis) {
+    pub fn forget_if_older_than(&self, before: Millis) {
         let Ok(_turn) = self.confirming.try_lock() else {
             return;
         };
--- a/crates/gateway/tests/explain.rs
+++ b/crates/gateway/tests/explain.rs
@@ -404,14 +404,14 @@
 fn records_that_were_dropped_unread_leave_a_line() {
     capture();
     let view = lone_view(0);
-    view.take_page(page_at(0), 0, 1);
+    view.apply_page(page_at(0), 0, 1);
     assert_eq!(skips_told(&view), []);
     view.skip_to(4, 1);
-    view.take_page(page_at(9), 1, 2);
+    view.apply_page(page_at(9), 1, 2);
     assert_eq!(skips_told(&view), [(0, 4), (4, 9)]);
     // Nothing is missed here.
     view.skip_to(9, 2);
-    view.take_page(page_at(9), 2, 3);
+    view.apply_page(page_at(9), 2, 3);
     assert_eq!(skips_told(&view).len(), 2);
 }
 
@@ -422,12 +422,12 @@
     let view = lone_view(1);
     for read in 1..=3 {
         view.skip_to(10 * read, read);
-        view.forget_all_before(u64::MAX);
+        view.forget_if_older_than(u64::MAX);
         assert_eq!(view.lock().next, 0);
     }
     assert_eq!(skips_told(&view), [(0, 10)]);
-    view.take_page(page_at(40), 0, 1);
-    view.take_page(page_at(50), 1, 2);
+    view.apply_page(page_at(40), 0, 1);
+    view.apply_page(page_at(50), 1, 2);
     assert_eq!(skips_told(&view), [(0, 10), (40, 50)]);
 }
 
