--- a/crates/gateway/src/batch_ends.rs
+++ b/crates/gateway/src/batch_ends.rs
@@ -14,7 +14,7 @@
 
 use crate::batch_answer::BatchAnswer;
 use crate::context::Context;
-use crate::peers::{self, OwnersEnd};
+use crate::peers::{self, OwnerEndOutcome};
 use crate::questions::{self, NotFound};
 use crate::repeated_append::{AppendFor, AppendOutcome, append};
 
@@ -74,9 +74,9 @@
     began: Instant,
 ) -> EndOutcome {
     match peers::end(context, caller, id, began).await {
-        OwnersEnd::Done => EndOutcome::Appended,
-        OwnersEnd::MayBeDone => EndOutcome::NotAppended { may_be_done: true },
-        OwnersEnd::NotDone => EndOutcome::NotAppended { may_be_done: false },
+        OwnerEndOutcome::Done => EndOutcome::Appended,
+        OwnerEndOutcome::MayBeDone => EndOutcome::NotAppended { may_be_done: true },
+        OwnerEndOutcome::NotDone => EndOutcome::NotAppended { may_be_done: false },
     }
 }
 
--- a/crates/gateway/src/call_progress.rs
+++ b/crates/gateway/src/call_progress.rs
@@ -434,7 +434,7 @@
         let is_callers_own = self.call.batch.is_none();
         let tenant = self.call.tenant.as_ref().filter(|_| is_callers_own);
         if let (Some(tenant), Some(ran_since)) = (tenant, self.ran_since) {
-            self.context.usage.began(tenant, ran_since);
+            self.context.usage.record_request(tenant, ran_since);
         }
     }
 
--- a/crates/gateway/src/coordinator/lease.rs
+++ b/crates/gateway/src/coordinator/lease.rs
@@ -32,7 +32,7 @@
                 self.context.set_lease_grant(Some(LeaseGrant {
                     term,
                     since: AwakeInstant::now(),
-                    reliable_until: self.reliable_until.clone(),
+                    valid_until: self.valid_until.clone(),
                 }));
                 // Not reliable until a sign of life was answered.
                 self.lease = Some(HeldLease {
@@ -47,7 +47,7 @@
                 info!(event = "order_lease_lost", term = lease.term; "");
                 self.lease = None;
                 self.context.set_lease_grant(None);
-                self.reliable_until.store(0, Ordering::Relaxed);
+                self.valid_until.store(0, Ordering::Relaxed);
                 self.taken.clear();
             }
             _ => {}
@@ -119,7 +119,7 @@
             lease.kept_at = sent;
             lease.sign_stood_at = sign_stood_at;
             if is_current {
-                self.reliable_until
+                self.valid_until
                     .store(sent + reliable_ms, Ordering::Relaxed);
             }
         }
@@ -146,7 +146,7 @@
             return;
         };
         self.context.set_lease_grant(None);
-        self.reliable_until.store(0, Ordering::Relaxed);
+        self.valid_until.store(0, Ordering::Relaxed);
         let record = ControlRecord::LeaseReleased { term: lease.term };
         if let Err(error) = append_control(&self.context, &record).await {
             warn!(event = "order_release_failed", reason = error.to_string().as_str(); "");
@@ -162,6 +162,6 @@
         let now = self.context.now();
         let is_awake =
             now.saturating_sub(lease.since) >= self.context.settings.bounds.order_thaw_ms;
-        now < self.reliable_until.load(Ordering::Relaxed) && is_awake
+        now < self.valid_until.load(Ordering::Relaxed) && is_awake
     }
 }
--- a/crates/gateway/src/coordinator/mod.rs
+++ b/crates/gateway/src/coordinator/mod.rs
@@ -52,7 +52,7 @@
     load_limit: LoadLimit,
     harmful_loads: HarmfulLoads,
     /// Until when the lease is relied on; read right before each order is sent.
-    reliable_until: Arc<AtomicU64>,
+    valid_until: Arc<AtomicU64>,
     pace: WorkPace,
     suspension: SuspensionWatch,
     ended: UnboundedReceiver<OrderEnded>,
@@ -100,7 +100,7 @@
             lease: None,
             taken: BTreeMap::new(),
             under_way: BTreeSet::new(),
-            reliable_until: Arc::new(AtomicU64::new(0)),
+            valid_until: Arc::new(AtomicU64::new(0)),
             avoided_until: BTreeMap::new(),
             pace: WorkPace::new(PLAN_REST),
             suspension: SuspensionWatch::start(),
@@ -203,9 +203,9 @@
         }
         let (context, sender) = (self.context.clone(), self.ended_sender.clone());
         let (began, together) = (context.now(), self.under_way.len());
-        let reliable_until = self.reliable_until.clone();
+        let valid_until = self.valid_until.clone();
         tokio::spawn(async move {
-            let report = order_run::follow(&context, &order, start, &reliable_until).await;
+            let report = order_run::follow(&context, &order, start, &valid_until).await;
             let has_version = report.as_ref().is_some_and(|report| order.is_taken(report));
             let took_ms = context.now().saturating_sub(began);
             let is_given = start == OrderStart::Give;
--- a/crates/gateway/src/digest_writer.rs
+++ b/crates/gateway/src/digest_writer.rs
@@ -58,7 +58,7 @@
 /// The term under which this node keeps the digest now, if it does.
 fn term_to_write(context: &Context) -> Option<Term> {
     let grant = context.lease_grant()?;
-    let is_relied_on = grant.reliable_for(context.now()).is_some();
+    let is_relied_on = grant.remaining_validity(context.now()).is_some();
     (is_relied_on && is_wanted(context)).then_some(grant.term)
 }
 
--- a/crates/gateway/src/lease_grant.rs
+++ b/crates/gateway/src/lease_grant.rs
@@ -20,7 +20,7 @@
     /// When this node learned that it holds the lease.
     pub since: AwakeInstant,
     /// Until when the lease is relied on; moves on with each sign of life.
-    pub reliable_until: Arc<AtomicU64>,
+    pub valid_until: Arc<AtomicU64>,
 }
 
 /// Term of the first holder ever: no other one acted before it.
@@ -28,11 +28,8 @@
 
 impl LeaseGrant {
     /// Time for which the lease is relied on from now on; `None` if it is not.
-    pub fn reliable_for(&self, now: Millis) -> Option<Duration> {
-        let left = self
-            .reliable_until
-            .load(Ordering::Relaxed)
-            .saturating_sub(now);
+    pub fn remaining_validity(&self, now: Millis) -> Option<Duration> {
+        let left = self.valid_until.load(Ordering::Relaxed).saturating_sub(now);
         (left > 0).then(|| Duration::from_millis(left))
     }
 
@@ -40,18 +37,18 @@
     pub fn authority(&self, context: &Context, timeout: Duration) -> Option<DutyAuthority> {
         let now = context.now();
         let order_lease = Duration::from_millis(context.settings.bounds.order_lease_ms);
-        let reliable_for = self.reliable_for(now)?;
-        self.is_settled(order_lease + ORDER_TIMEOUT)
+        let remaining_validity = self.remaining_validity(now)?;
+        self.is_previous_holder_done(order_lease + ORDER_TIMEOUT)
             .then(|| DutyAuthority {
                 holder: context.node.to_string(),
                 fence: self.term,
-                write_by: Instant::now() + reliable_for.min(timeout),
+                write_by: Instant::now() + remaining_validity.min(timeout),
                 timeout,
             })
     }
 
     /// Whether the last act of any holder before this one is at least `quiet` old: it ended with its lease.
-    pub fn is_settled(&self, quiet: Duration) -> bool {
+    pub fn is_previous_holder_done(&self, quiet: Duration) -> bool {
         self.term <= FIRST_TERM || self.since.elapsed() >= quiet
     }
 }
--- a/crates/gateway/src/metering/counter.rs
+++ b/crates/gateway/src/metering/counter.rs
@@ -29,7 +29,7 @@
     }
 
     /// A back end began a request of a tenant at a time of day.
-    pub fn began(&self, tenant: &TenantName, at: UnixMillis) {
+    pub fn record_request(&self, tenant: &TenantName, at: UnixMillis) {
         let Some(window_ms) = self.window_ms else {
             return;
         };
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -28,7 +28,7 @@
 use crate::peers;
 use crate::server::{self, InFlight, ListenError};
 use crate::settings::Settings;
-use crate::sizing::SizeKeeper;
+use crate::sizing::PoolSizeController;
 
 /// Time from the signal to stop until connections are closed, so that callers' entry has noticed
 /// that the node is not ready.
@@ -129,7 +129,7 @@
         let listened = listener.local_addr().map_err(NodeError::Address)?;
         context
             .peers
-            .listens_at(listen.peers_told.unwrap_or(listened));
+            .set_own_address(listen.peers_told.unwrap_or(listened));
         tasks.spawn(peers::serve(context.clone(), listener));
     }
     let in_flight = Arc::new(InFlight::default());
@@ -184,7 +184,7 @@
     let settings = context.settings.operations.as_ref();
     let is_asked = settings.is_some_and(|operations| operations.autoscale);
     if let (true, Some(api)) = (is_asked, context.operations.clone()) {
-        tasks.spawn(SizeKeeper::new(context.clone(), api).run());
+        tasks.spawn(PoolSizeController::new(context.clone(), api).run());
     }
 }
 
--- a/crates/gateway/src/order_run.rs
+++ b/crates/gateway/src/order_run.rs
@@ -101,7 +101,7 @@
     /// Until when the next holder expects it to have reached its back end.
     give_until: Instant,
     /// Until when the lease is relied on.
-    reliable_until: &'a AtomicU64,
+    valid_until: &'a AtomicU64,
 }
 
 /// Follows an order to its end. The report is the back end's last word, `None` if it has none.
@@ -109,7 +109,7 @@
     context: &Arc<Context>,
     order: &Order,
     start: OrderStart,
-    reliable_until: &AtomicU64,
+    valid_until: &AtomicU64,
 ) -> Option<BackendReport> {
     let began = Instant::now();
     let mut given = Given::Unsent;
@@ -122,7 +122,7 @@
         write_down(context, order).await.ok()?;
         let permit = OrderPermit {
             give_until,
-            reliable_until,
+            valid_until,
         };
         given = give(context, order, expected_orders, permit).await;
     }
@@ -219,7 +219,7 @@
     });
     let (began, now) = (Instant::now(), context.now());
     let reliable_ms = permit
-        .reliable_until
+        .valid_until
         .load(Ordering::Relaxed)
         .saturating_sub(now);
     let is_reliable = reliable_ms > 0;
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -14,7 +14,7 @@
 
 use tokio::sync::Semaphore;
 
-pub(crate) use questions::{OwnersEnd, end, item_body, results};
+pub(crate) use questions::{OwnerEndOutcome, end, item_body, results};
 pub use server::serve;
 
 use client::PeerLinks;
@@ -55,7 +55,7 @@
     }
 
     /// This node answers others at an address.
-    pub fn listens_at(&self, address: SocketAddr) {
+    pub fn set_own_address(&self, address: SocketAddr) {
         // Set once: a node starts once.
         let _ = self.own_address.set(address);
     }
--- a/crates/gateway/src/peers/questions.rs
+++ b/crates/gateway/src/peers/questions.rs
@@ -34,7 +34,7 @@
 
 /// What came of an end that was passed to the node that runs the batch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum OwnersEnd {
+pub(crate) enum OwnerEndOutcome {
     /// It stands in the log.
     Done,
     /// It may come to stand there.
@@ -81,19 +81,19 @@
     caller: &Caller,
     batch: &BatchId,
     began: Instant,
-) -> OwnersEnd {
+) -> OwnerEndOutcome {
     let until = began + END_PATIENCE;
     let is_in_time = Instant::now() + LEAST_END_TIME <= until;
     let owner = owner_of(context, batch).filter(|owner| is_in_time && !is_paused(context, owner));
     let Some(owner) = owner else {
-        return OwnersEnd::NotDone;
+        return OwnerEndOutcome::NotDone;
     };
     match ask(context, &owner, caller, batch, PeerQuestion::End, until).await {
-        None | Some(Ok(PeerAnswer::Declined(_))) => OwnersEnd::NotDone,
-        Some(Ok(PeerAnswer::Answered { .. })) => OwnersEnd::Done,
-        Some(Ok(PeerAnswer::MayBeDone)) => OwnersEnd::MayBeDone,
-        Some(Err(error)) if error.is_unsent() => OwnersEnd::NotDone,
-        Some(Err(_)) => OwnersEnd::MayBeDone,
+        None | Some(Ok(PeerAnswer::Declined(_))) => OwnerEndOutcome::NotDone,
+        Some(Ok(PeerAnswer::Answered { .. })) => OwnerEndOutcome::Done,
+        Some(Ok(PeerAnswer::MayBeDone)) => OwnerEndOutcome::MayBeDone,
+        Some(Err(error)) if error.is_unsent() => OwnerEndOutcome::NotDone,
+        Some(Err(_)) => OwnerEndOutcome::MayBeDone,
     }
 }
 
--- a/crates/gateway/src/sizing.rs
+++ b/crates/gateway/src/sizing.rs
@@ -27,7 +27,7 @@
 const BEHIND_SHARE: f64 = 0.8;
 
 /// Keeps pools at the size that their load needs.
-pub(crate) struct SizeKeeper {
+pub(crate) struct PoolSizeController {
     context: Arc<Context>,
     api: Arc<dyn OperationsApi>,
     sizers: BTreeMap<PoolName, PoolSizer>,
@@ -35,7 +35,7 @@
     answered: BTreeMap<(PoolName, ZoneName), (Term, u32)>,
 }
 
-impl SizeKeeper {
+impl PoolSizeController {
     /// One that has ordered nothing.
     pub(crate) fn new(context: Arc<Context>, api: Arc<dyn OperationsApi>) -> Self {
         Self {
--- a/crates/gateway/tests/suspended.rs
+++ b/crates/gateway/tests/suspended.rs
@@ -172,8 +172,8 @@
     let grant = LeaseGrant {
         term: 2,
         since: AwakeInstant::now(),
-        reliable_until: Arc::default(),
+        valid_until: Arc::default(),
     };
     suspension::suspend_this_thread(SUSPENDED);
-    assert!(!grant.is_settled(SUSPENDED));
+    assert!(!grant.is_previous_holder_done(SUSPENDED));
 }
