--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -25,11 +25,11 @@
 use crate::backends::Backends;
 use crate::batch_partitions::{BatchPartitions, BatchView};
 use crate::counted_log::CountedLog;
-use crate::crash_evidence::Watched;
+use crate::crash_evidence::WatchedSends;
 use crate::crash_guard::CrashGuard;
 use crate::edge::{
-    CheckpointStore, Dialect, Directory, DirectoryKind, LogStream, NodeClock, SharedLog,
-    StreamPartition, Surroundings,
+    CheckpointStore, Dialect, Directory, DirectoryKind, LogStream, NodeClock, NodeDependencies,
+    SharedLog, StreamPartition,
 };
 use crate::held_answers::HeldAnswers;
 use crate::intake::Intake;
@@ -38,7 +38,7 @@
 use crate::operations::OperationsApi;
 use crate::peer_notices::PeerSocket;
 use crate::peers::Peers;
-use crate::reward_pace::RewardPace;
+use crate::reward_limiter::RewardLimiter;
 use crate::settings::Settings;
 use crate::stream_view::StreamView;
 
@@ -148,10 +148,10 @@
     /// Other nodes that run batches.
     pub peers: Peers,
     pub(crate) crash_guard: CrashGuard,
-    pub(crate) watched: Watched,
+    pub(crate) watched_sends: WatchedSends,
     /// Where datagrams of other nodes come in, if the node listens for them.
     pub(crate) peer_socket: OnceLock<PeerSocket>,
-    pub(crate) reward_pace: RewardPace,
+    pub(crate) reward_limiter: RewardLimiter,
     /// Set once the node was told to stop.
     pub stopping: AtomicBool,
     /// When the process ends, once the node was told to stop.
@@ -176,14 +176,14 @@
 
 impl Context {
     /// A context that knows nothing yet.
-    pub fn new(settings: Settings, node: NodeId, surroundings: Surroundings) -> Arc<Self> {
-        let Surroundings {
+    pub fn new(settings: Settings, node: NodeId, dependencies: NodeDependencies) -> Arc<Self> {
+        let NodeDependencies {
             log,
             checkpoints,
             directory,
             dialect,
             operations,
-        } = surroundings;
+        } = dependencies;
         let window_ms = settings.metering().map(|metering| metering.window_ms);
         let regions = settings.region_map();
         let answers = HeldAnswers::new(settings.memory_bytes());
@@ -231,9 +231,9 @@
             intake: Intake::default(),
             peers: Peers::default(),
             crash_guard: CrashGuard::default(),
-            watched: Watched::default(),
+            watched_sends: WatchedSends::default(),
             peer_socket: OnceLock::new(),
-            reward_pace: RewardPace::new(clock),
+            reward_limiter: RewardLimiter::new(clock),
             stopping: AtomicBool::new(false),
             ends_at: OnceLock::new(),
             releasing: AtomicBool::new(false),
@@ -358,14 +358,14 @@
         let machines = self.fleet_size();
         let mut pace = pacing::pace(machines, ALWAYS_FOLLOWED, self.settings.log.reads_per_s);
         if self.control_read_for() < FLEET_UNKNOWN_FOR {
-            pace.gap_ms = pace.gap_ms.min(LONGEST_GAP_AT_FIRST_MS);
+            pace.read_interval_ms = pace.read_interval_ms.min(LONGEST_GAP_AT_FIRST_MS);
         }
         pace
     }
 
     /// Usual time between two reads of a stream; none in a small fleet.
     pub fn read_gap(&self) -> Duration {
-        Duration::from_millis(self.pace().gap_ms)
+        Duration::from_millis(self.pace().read_interval_ms)
     }
 
     /// Has reads of the log wait for their answers as long as those of the whole fleet may take together.
@@ -586,7 +586,7 @@
 
     /// The same while nothing is wrong, at most: each read waits for a change, and the next one follows after a gap.
     pub fn longest_operators_age_ms(&self) -> Millis {
-        let gap_ms = self.pace().gap_ms;
+        let gap_ms = self.pace().read_interval_ms;
         self.settings.tuning.read_wait_ms + 2 * gap_ms + READ_SLACK_MS
     }
 
--- a/crates/gateway/src/directories.rs
+++ b/crates/gateway/src/directories.rs
@@ -107,10 +107,10 @@
                 for entry in page.entries {
                     take_entry(&context, entry, None);
                 }
-                self.look_at_size(page.behind);
+                self.look_at_size(page.remaining);
                 self.look_at_known_size();
                 context.control_changed.notify_one();
-                if page.behind > 0 {
+                if page.remaining > 0 {
                     self.catch_up();
                     return;
                 }
@@ -206,7 +206,7 @@
 /// Wait between two reads of a directory: none among few machines, and never so long that a change
 /// comes late.
 fn directory_gap(context: &Context) -> Duration {
-    Duration::from_millis(context.pace().gap_ms).min(LONGEST_DIRECTORY_GAP)
+    Duration::from_millis(context.pace().read_interval_ms).min(LONGEST_DIRECTORY_GAP)
 }
 
 /// What a listing has brought so far that replaces what was known, once it is whole.
@@ -286,14 +286,14 @@
             let change = BackendChange { name, record: None };
             take_entry(context, DirectoryEntry::Backend(change), listed);
         }
-        DirectoryEntry::Evacuation { zone, is_asked } => match listed {
-            Some(listed) if is_asked => {
+        DirectoryEntry::Evacuation { zone, is_requested } => match listed {
+            Some(listed) if is_requested => {
                 listed.evacuated.insert(zone);
             }
             Some(listed) => {
                 listed.evacuated.remove(&zone);
             }
-            None => set_evacuated(context, &zone, is_asked),
+            None => set_evacuated(context, &zone, is_requested),
         },
         DirectoryEntry::Backend(change) => match (listed, change.record.clone()) {
             (Some(listed), Some(record)) => {
@@ -317,7 +317,7 @@
 /// give orders, and by all where they are few. Others count it, so that the fleet's lines don't grow
 /// with nodes times changes.
 fn tells_all(context: &Context, change: &'static str) -> bool {
-    let tells = context.takes_part() || context.pace().gap_ms == 0;
+    let tells = context.takes_part() || context.pace().read_interval_ms == 0;
     if !tells {
         metrics::directory_changed(change);
     }
--- a/crates/gateway/src/engine/reward.rs
+++ b/crates/gateway/src/engine/reward.rs
@@ -59,7 +59,7 @@
 enum AttemptOutcome {
     /// An application answered with this signature.
     Scored(String),
-    /// The call was not made: the routes changed while it waited for its turn.
+    /// The call was not made: the routes changed while it waited for a permit.
     RoutesChanged,
     /// The call may be retried after a pause.
     Retry { pause: Duration },
@@ -85,7 +85,7 @@
     }
 }
 
-/// Waits for the call's turn and makes it once.
+/// Waits for a permit and makes the call once.
 async fn attempt_call(
     context: &Arc<Context>,
     batch: &BatchId,
@@ -103,13 +103,13 @@
         };
     };
     let share = context.share_of_places(pool);
-    let turn = context.reward_pace.turn(pool, share).await;
+    let permit = context.reward_limiter.acquire(pool, share).await;
     let began = Instant::now();
     if !are_routes_current(context, routes.as_deref()) {
         return AttemptOutcome::RoutesChanged;
     }
     let Some(call) = reward_call(context, batch, reward) else {
-        drop(turn);
+        drop(permit);
         // No valid request can be made from this reward call. The item is given up once its batch is too old.
         return std::future::pending().await;
     };
@@ -117,11 +117,11 @@
     *failures += executed.server_errors;
     let end = pace_outcome(route, &executed.outcome, began.elapsed());
     if end == CallEnd::Rejected {
-        // The turn ends only after the pause. Otherwise the next call would find the same full pool a
+        // The permit is returned only after the pause. Otherwise the next call would find the same full pool a
         // millisecond later.
         tokio::time::sleep(REJECTED_PAUSE).await;
     }
-    turn.ended(end);
+    permit.finish(end);
     if let Some(score) = signature_of(context, &executed.outcome) {
         return AttemptOutcome::Scored(score);
     }
--- a/crates/gateway/src/engine/run.rs
+++ b/crates/gateway/src/engine/run.rs
@@ -187,7 +187,7 @@
     match end {
         RunEnd::Whole | RunEnd::Failed | RunEnd::Impossible => {
             let is_success = *end == RunEnd::Whole;
-            crash_guard::answered(context, &backend.id, is_success, request);
+            crash_guard::record_answer(context, &backend.id, is_success, request);
         }
         RunEnd::Broken | RunEnd::Stalled if events < MIN_EVENTS_OF_HEALTHY_RUN => {
             let broken = UnansweredSend {
@@ -197,7 +197,7 @@
                 link: backend.link.clone(),
                 slot: None,
             };
-            crash_evidence::send_broke(context, broken).await;
+            crash_evidence::check_broken_send(context, broken).await;
         }
         RunEnd::Broken
         | RunEnd::Stalled
@@ -221,7 +221,7 @@
     };
     let sending = Sending::within(HEAD_TIMEOUT)
         .written_by(parameters.write_by)
-        .patient_for(send::HEAD_PATIENCE)
+        .patient_for(send::HEAD_SILENCE_TIMEOUT)
         .ended_when_silent();
     let answer = match backend.link.send_as(request.clone(), sending).await {
         // The silent connection was closed with a reset, which cancels a run that may have begun. The other
@@ -285,7 +285,7 @@
         headers.insert(name, HeaderValue::from_str(&header.value).ok()?);
     }
     send::remove_connection_headers(headers);
-    access::name_tenant(names, headers, parameters.tenant.as_ref());
+    access::set_tenant_header(names, headers, parameters.tenant.as_ref());
     headers.insert(HOST, HeaderValue::from_str(&parameters.host).ok()?);
     let id = HeaderValue::from_str(parameters.key.item.as_str()).ok()?;
     headers.insert(names.request_id.clone(), id);
--- a/crates/gateway/tests/placement.rs
+++ b/crates/gateway/tests/placement.rs
@@ -34,18 +34,18 @@
     entry(backend, record)
 }
 
-fn evacuation(is_evacuated: bool) -> DirectoryEntry {
+fn evacuation(is_requested: bool) -> DirectoryEntry {
     DirectoryEntry::Evacuation {
         zone: ZoneName::from("other"),
-        is_asked: is_evacuated,
+        is_requested,
     }
 }
 
-async fn set_evacuated(deployment: &Deployment, node: &TestNode, is_evacuated: bool) {
-    deployment.log.write_operators(evacuation(is_evacuated));
+async fn set_evacuated(deployment: &Deployment, node: &TestNode, is_requested: bool) {
+    deployment.log.write_operators(evacuation(is_requested));
     wait_until("the node knows of the change", || {
         let backends = node.context().backends.lock();
-        backends.list.evacuated().is_empty() != is_evacuated
+        backends.list.evacuated().is_empty() != is_requested
     })
     .await;
 }
--- a/crates/gateway/tests/token_memory.rs
+++ b/crates/gateway/tests/token_memory.rs
@@ -15,7 +15,7 @@
 fn batch_body(items: &[(&str, u32)]) -> String {
     let lines = items
         .iter()
-        .map(|(item, estimate)| format!("{item} {item} {guess} -\n"));
+        .map(|(item, estimate)| format!("{item} {item} {estimate} -\n"));
     format!("1\n{}", lines.collect::<String>())
 }
 
