--- a/crates/gateway/src/coordinator/demand.rs
+++ b/crates/gateway/src/coordinator/demand.rs
@@ -1,4 +1,4 @@
-//! What the models' back ends have to do, and which orders follow from it.
+//! The demand of each model for back ends, and the orders that follow from it.
 
 use std::collections::BTreeMap;
 
@@ -12,87 +12,94 @@
 use super::Coordinator;
 use crate::order_run::ORDER_TIMEOUT;
 
-/// Time from an order's record until the order is at its back end, at most. What is known of another
-/// machine's order is when its record stood in the log.
-const ORDER_ON_ITS_WAY_MS: Millis = ORDER_TIMEOUT.as_millis() as Millis;
+/// Longest time from the log record of an order until the order is at its back end. Of another machine's
+/// order, a node knows only when the record was in the log.
+const MAX_ORDER_DELAY_MS: Millis = ORDER_TIMEOUT.as_millis() as Millis;
 
-/// What a model's back ends have to do.
+/// The workload of a model, as its newest batch shows it.
 #[derive(Debug, Clone, Copy)]
-struct ModelWork {
-    /// Tokens of its newest batch: its share of the back ends.
+struct ModelWorkload {
+    /// Expected tokens of the newest batch; the back ends are divided among the models in this proportion.
     weight: f64,
-    /// Items of its newest batch.
+    /// Items of the newest batch; `u32::MAX` while no batch is known.
     items: u32,
-    /// How many versions behind the step's own its tokens may be.
-    allowed_age: u64,
+    /// How many versions behind the version of the batch's step its tokens may be.
+    max_versions_behind: u64,
 }
 
 impl Coordinator {
+    /// Plans the orders that a pool needs now.
     pub(super) fn plan(
         &mut self,
         pool: &Pool,
         named: &BTreeMap<ModelName, Version>,
     ) -> Vec<PlannedOrder> {
-        // In this order: a suspension in between makes the orders of others look younger, never older.
+        // The time is read before the suspension is recorded: a suspension in between makes the orders of
+        // other machines look younger, never older.
         let now = self.context.now();
-        self.note_suspension();
+        self.record_suspension();
         let targets = self.targets(pool, now);
-        let work: BTreeMap<ModelName, ModelWork> = pool
+        let workload: BTreeMap<ModelName, ModelWorkload> = pool
             .models
             .iter()
-            .map(|model| (model.clone(), self.work_of(model)))
+            .map(|model| (model.clone(), self.workload_of(model)))
             .collect();
-        self.want_places_for(pool, &targets, &work);
-        let weights = work
+        self.request_backends_if_short(pool, &targets, &workload);
+        let weights = workload
             .iter()
-            .map(|(model, work)| (model.clone(), work.weight))
+            .map(|(model, workload)| (model.clone(), workload.weight))
             .collect();
-        let homes = assign_models(&targets, &weights, named);
-        let demand = work.iter().filter_map(|(model, work)| {
+        let assignments = assign_models(&targets, &weights, named);
+        let demand = workload.iter().filter_map(|(model, workload)| {
             let named = *named.get(model)?;
             Some((
                 model.clone(),
                 VersionDemand {
                     named,
-                    max_versions_behind: work.allowed_age,
-                    items: work.items,
+                    max_versions_behind: workload.max_versions_behind,
+                    items: workload.items,
                 },
             ))
         });
-        let at_once = self.load_limit.allowed(targets.len());
-        plan_orders(&targets, &demand.collect(), &homes, at_once)
+        let max_loads_at_once = self.load_limit.allowed(targets.len());
+        plan_orders(&targets, &demand.collect(), &assignments, max_loads_at_once)
     }
 
-    /// Has more back ends listed if those that are known cannot hold the newest batches of all models at once.
-    fn want_places_for(
+    /// Requests that more back ends be listed if the known ones have too few slots for the newest batches of
+    /// all models at once.
+    fn request_backends_if_short(
         &self,
         pool: &Pool,
         targets: &[OrderTarget],
-        work: &BTreeMap<ModelName, ModelWork>,
+        workload: &BTreeMap<ModelName, ModelWorkload>,
     ) {
-        let places: u64 = targets.iter().map(|target| u64::from(target.slots)).sum();
-        let known_work = work.values().filter(|work| work.items != u32::MAX);
-        let items: u64 = known_work.map(|work| u64::from(work.items)).sum();
-        if places < items {
+        let slots: u64 = targets.iter().map(|target| u64::from(target.slots)).sum();
+        let known_workloads = workload
+            .values()
+            .filter(|workload| workload.items != u32::MAX);
+        let items: u64 = known_workloads
+            .map(|workload| u64::from(workload.items))
+            .sum();
+        if slots < items {
             self.context.backends.want_more(&pool.name);
         }
     }
 
-    /// What the newest batch of a model tells of its work.
-    fn work_of(&self, model: &ModelName) -> ModelWork {
+    /// The workload of a model, from its newest batch.
+    fn workload_of(&self, model: &ModelName) -> ModelWorkload {
         let control = self.context.control.lock();
         let newest = control.state.index().newest_of_model(model);
         newest.map_or(
-            ModelWork {
+            ModelWorkload {
                 weight: 1.0,
-                // Until a batch is known, so that its first items find a place each.
+                // While no batch is known, so that each of the first items finds a slot.
                 items: u32::MAX,
-                allowed_age: 0,
+                max_versions_behind: 0,
             },
-            |batch| ModelWork {
+            |batch| ModelWorkload {
                 weight: (batch.expected_tokens as f64).max(1.0),
                 items: batch.items,
-                allowed_age: batch
+                max_versions_behind: batch
                     .step
                     .unwrap_or(0)
                     .saturating_sub(batch.minimum_version),
@@ -100,19 +107,20 @@
         )
     }
 
+    /// The back ends of a pool that are ready, with their versions, load and whether they can get an order.
     pub(super) fn targets(&self, pool: &Pool, now: Millis) -> Vec<OrderTarget> {
         let running = self.context.occupied(|_| true);
         self.context.note_observed_versions();
         let control = self.context.control.lock();
         let backends = self.context.backends.lock();
-        let quiet_ms = self.context.settings.bounds.order_lease_ms + ORDER_ON_ITS_WAY_MS;
+        let min_order_age_ms = self.context.settings.bounds.order_lease_ms + MAX_ORDER_DELAY_MS;
         let mut targets = Vec::new();
         for (id, record) in backends.list.ready_in(&pool.name) {
-            let is_quiet = control
+            let is_order_old_enough = control
                 .state
                 .ms_since_order_by_other_machine(id, now)
-                .is_none_or(|quiet| quiet > quiet_ms);
-            let is_left_alone = self.avoided_until.get(id).is_some_and(|until| *until > now);
+                .is_none_or(|age_ms| age_ms > min_order_age_ms);
+            let is_backing_off = self.avoided_until.get(id).is_some_and(|until| *until > now);
             let models = pool.models.iter();
             targets.push(OrderTarget {
                 backend: id.clone(),
@@ -121,8 +129,8 @@
                     .collect(),
                 running: running.get(id).copied().unwrap_or(0),
                 slots: record.slots,
-                is_loading: self.under_way.contains(id),
-                is_avoided: is_left_alone || !is_quiet,
+                is_loading: self.in_flight.contains(id),
+                is_avoided: is_backing_off || !is_order_old_enough,
             });
         }
         targets
--- a/crates/gateway/src/coordinator/harmful_loads.rs
+++ b/crates/gateway/src/coordinator/harmful_loads.rs
@@ -1,7 +1,9 @@
-//! Versions whose loads end back ends: tried again by one back end at a time, with a pause between them.
+//! Limits the loads of versions that are suspected to crash back ends. A barred version is loaded by one back
+//! end at a time, with a pause between two attempts.
 //!
-//! They are not given up, unlike requests: back ends may have ended for other reasons while they loaded, and
-//! without its newest version a trainer stands still. One load that ends well clears the version.
+//! Unlike a request, such a version is never given up: the back ends may have crashed for another reason while
+//! they loaded it, and a trainer makes no progress without its newest version. One successful load clears the
+//! version.
 
 use std::collections::BTreeMap;
 
@@ -14,72 +16,73 @@
 use crate::crash_guard;
 use crate::fingerprint;
 
-/// Pause between two tries of a version under whose loads three back ends ended: a back end is away for some
-/// seconds after its end, so a pool of any size keeps nearly all of them.
-const TRY_PAUSE_MS: Millis = 10_000;
-/// Most versions of which a try is remembered; the newest ones are.
-const MOST_REMEMBERED: usize = 64;
+/// Least time between two attempts to load a version that three back ends crashed while loading. A back end is
+/// away for some seconds after a crash, so a pool of any size keeps nearly all of its back ends.
+const RETRY_INTERVAL_MS: Millis = 10_000;
+/// Versions whose last attempt is remembered, at most; the oldest attempt is forgotten first.
+const MAX_REMEMBERED_ATTEMPTS: usize = 64;
 
-/// Loads of suspected versions: how many are under way, and when barred ones were tried last.
+/// Loads of each version that are in flight, and the last attempt of each barred version.
 #[derive(Debug, Default)]
 pub(super) struct HarmfulLoads {
-    under_way: BTreeMap<Fingerprint, usize>,
-    last_try: BTreeMap<Fingerprint, Millis>,
+    in_flight: BTreeMap<Fingerprint, usize>,
+    last_attempt: BTreeMap<Fingerprint, Millis>,
 }
 
 impl HarmfulLoads {
-    /// Whether a load may begin, in view of the back ends that ended under the same one.
-    pub(super) fn may_begin(&self, load: &Fingerprint, suspicion: &Suspicion, now: Millis) -> bool {
-        let under_way = self.under_way.get(load).copied().unwrap_or(0);
+    /// Whether a load may begin, given the suspicion against its version.
+    pub(super) fn can_begin(&self, load: &Fingerprint, suspicion: &Suspicion, now: Millis) -> bool {
+        let in_flight = self.in_flight.get(load).copied().unwrap_or(0);
         match suspicion {
             Suspicion::None => true,
-            Suspicion::Suspected { runs_left, .. } => under_way < *runs_left,
+            Suspicion::Suspected { runs_left, .. } => in_flight < *runs_left,
             Suspicion::LeftToAnother { .. } | Suspicion::Barred { .. } => {
-                let last = self.last_try.get(load);
-                under_way == 0 && last.is_none_or(|last| now.saturating_sub(*last) >= TRY_PAUSE_MS)
+                let last = self.last_attempt.get(load);
+                in_flight == 0
+                    && last.is_none_or(|last| now.saturating_sub(*last) >= RETRY_INTERVAL_MS)
             }
         }
     }
 
-    /// A load begins.
-    pub(super) fn begins(&mut self, load: Fingerprint, suspicion: &Suspicion, now: Millis) {
-        *self.under_way.entry(load).or_default() += 1;
+    /// Records the start of a load.
+    pub(super) fn record_start(&mut self, load: Fingerprint, suspicion: &Suspicion, now: Millis) {
+        *self.in_flight.entry(load).or_default() += 1;
         if matches!(suspicion, Suspicion::None | Suspicion::Suspected { .. }) {
             return;
         }
-        self.last_try.insert(load, now);
-        if self.last_try.len() > MOST_REMEMBERED {
-            let oldest = self.last_try.iter().min_by_key(|(_, at)| **at);
+        self.last_attempt.insert(load, now);
+        if self.last_attempt.len() > MAX_REMEMBERED_ATTEMPTS {
+            let oldest = self.last_attempt.iter().min_by_key(|(_, at)| **at);
             if let Some(load) = oldest.map(|(load, _)| *load) {
-                self.last_try.remove(&load);
+                self.last_attempt.remove(&load);
             }
         }
     }
 
-    /// A load has ended, and it is known how.
-    pub(super) fn ended(&mut self, load: &Fingerprint) {
-        if let Some(count) = self.under_way.get_mut(load) {
+    /// Records the end of a load whose outcome is known.
+    pub(super) fn record_end(&mut self, load: &Fingerprint) {
+        if let Some(count) = self.in_flight.get_mut(load) {
             *count -= 1;
             if *count == 0 {
-                self.under_way.remove(load);
+                self.in_flight.remove(load);
             }
         }
     }
 }
 
 impl Coordinator {
-    /// Whether a planned order may be given now; counts its load as under way if so.
-    pub(super) fn begin_load(&mut self, order: &PlannedOrder) -> bool {
-        if self.under_way.contains(&order.backend) {
+    /// Whether a planned order may be sent now; if so, its load is counted as in flight.
+    pub(super) fn try_begin_load(&mut self, order: &PlannedOrder) -> bool {
+        if self.in_flight.contains(&order.backend) {
             return false;
         }
         let load = fingerprint::of_load(&order.model, order.version);
         let now = self.context.now();
         let suspicion = crash_guard::suspicion(&self.context, &load);
-        if !self.harmful_loads.may_begin(&load, &suspicion, now) {
+        if !self.harmful_loads.can_begin(&load, &suspicion, now) {
             return false;
         }
-        self.harmful_loads.begins(load, &suspicion, now);
+        self.harmful_loads.record_start(load, &suspicion, now);
         if !matches!(suspicion, Suspicion::None) {
             warn!(event = "suspected_version_tried", model = order.model.as_str(), version = order.version,
                 content = load.to_string().as_str(), backend = order.backend.as_str(),
--- a/crates/gateway/src/coordinator/lease.rs
+++ b/crates/gateway/src/coordinator/lease.rs
@@ -1,4 +1,4 @@
-//! The lease for orders: who holds it, and until when its holder relies on it.
+//! The order lease: claim, renewal by heartbeats, release, and how long the holder relies on it.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -15,12 +15,13 @@
 use crate::lease_grant::LeaseGrant;
 use crate::log_writes::{append_control, append_sign_of_life};
 
-/// Share of the silence after which others claim in which the holder relies on its lease.
-const RELIABLE_SHARE: f64 = 0.7;
+/// Share of the silence timeout, after which other nodes claim the lease, for which the holder relies on its
+/// lease after a heartbeat.
+const VALIDITY_SHARE: f64 = 0.7;
 
 impl Coordinator {
-    /// Believes the log about who holds the lease.
-    pub(super) fn follow_lease(&mut self) {
+    /// Sets this node's lease to what the log says about the lease holder.
+    pub(super) fn update_lease(&mut self) {
         let inner = self.context.control.lock();
         let lease = inner.state.lease();
         let term = lease.is_held_by(&self.context.node).then(|| lease.term());
@@ -34,21 +35,21 @@
                     since: AwakeInstant::now(),
                     valid_until: self.valid_until.clone(),
                 }));
-                // Not reliable until a sign of life was answered.
+                // The lease is not valid until a heartbeat is confirmed.
                 self.lease = Some(HeldLease {
                     term,
                     since: now,
-                    kept_at: 0,
-                    sign_stood_at: None,
+                    last_heartbeat_at: 0,
+                    heartbeat_logged_at: None,
                 });
-                self.settle_pending();
+                self.follow_pending_orders();
             }
             (None, Some(lease)) => {
                 info!(event = "order_lease_lost", term = lease.term; "");
                 self.lease = None;
                 self.context.set_lease_grant(None);
                 self.valid_until.store(0, Ordering::Relaxed);
-                self.taken.clear();
+                self.accepted_orders.clear();
             }
             _ => {}
         }
@@ -66,7 +67,7 @@
         (self.context.now() >= at).then(|| lease.term())
     }
 
-    /// Claims the lease if the log, read to its end, still shows no sign of its holder.
+    /// Claims the lease if the log, read to its end, still shows no heartbeat of its holder.
     pub(super) async fn claim(&mut self) {
         let (log, clock) = (self.context.log.clone(), self.context.clock);
         let view = &self.context.control;
@@ -89,45 +90,45 @@
         if let Err(error) = append_control(&self.context, &record).await {
             warn!(event = "order_claim_failed", reason = error.to_string().as_str(); "");
         }
-        // Whether the claim counts is seen in the log.
+        // The log decides whether the claim succeeded.
         let _ = view.confirm(log.as_ref(), clock, Duration::ZERO).await;
     }
 
-    /// Gives a sign of life when one is due; its answer is what the lease rests on.
-    pub(super) async fn keep_lease(&mut self) {
+    /// Appends a heartbeat when one is due. The lease is extended if the log confirms the heartbeat.
+    pub(super) async fn send_heartbeat_if_due(&mut self) {
         let Some(lease) = self.lease else { return };
         let tuning = &self.context.settings.tuning;
         let sent = self.context.now();
-        if sent.saturating_sub(lease.kept_at) < tuning.keep_ms {
+        if sent.saturating_sub(lease.last_heartbeat_at) < tuning.keep_ms {
             return;
         }
-        let reliable_ms = (tuning.silence_ms as f64 * RELIABLE_SHARE) as Millis;
-        let after = lease.sign_stood_at.map(|at| at.elapsed());
+        let validity_ms = (tuning.silence_ms as f64 * VALIDITY_SHARE) as Millis;
+        let since_last = lease.heartbeat_logged_at.map(|at| at.elapsed());
         let holder = self.context.node.clone();
         let record = ControlRecord::LeaseKept {
             term: lease.term,
             holder,
-            after_ms: after.unwrap_or_default().as_millis() as Millis,
+            after_ms: since_last.unwrap_or_default().as_millis() as Millis,
         };
         let appended = append_sign_of_life(&self.context, &record).await.ok();
-        let sign_stood_at = appended.map(|_| AwakeInstant::now());
+        let heartbeat_logged_at = appended.map(|_| AwakeInstant::now());
         let is_current = match appended {
-            Some(appended) => self.is_kept(appended, lease.term).await,
+            Some(appended) => self.is_renewed_by(appended, lease.term).await,
             None => false,
         };
         if let Some(lease) = &mut self.lease {
-            lease.kept_at = sent;
-            lease.sign_stood_at = sign_stood_at;
+            lease.last_heartbeat_at = sent;
+            lease.heartbeat_logged_at = heartbeat_logged_at;
             if is_current {
                 self.valid_until
-                    .store(sent + reliable_ms, Ordering::Relaxed);
+                    .store(sent + validity_ms, Ordering::Relaxed);
             }
         }
     }
 
-    /// Whether a sign of life that was written counts: no newer term stands before it. That the
-    /// log took it proves nothing by itself, as it takes those of a former holder too.
-    async fn is_kept(&self, appended: Appended, term: Term) -> bool {
+    /// Whether an appended heartbeat renews the lease: no newer term precedes it in the log. A successful
+    /// append alone proves nothing, as the log also accepts the heartbeats of a former holder.
+    async fn is_renewed_by(&self, appended: Appended, term: Term) -> bool {
         let (log, view) = (self.context.log.as_ref(), &self.context.control);
         if view
             .confirm(log, self.context.clock, Duration::ZERO)
@@ -141,6 +142,7 @@
         inner.next > appended.offset && lease.term() == term && lease.is_held_by(&self.context.node)
     }
 
+    /// Gives the lease up, if this node holds it, and appends the release to the log.
     pub(super) async fn release(&mut self) {
         let Some(lease) = self.lease.take() else {
             return;
@@ -154,14 +156,15 @@
         info!(event = "order_lease_released", term = lease.term; "");
     }
 
-    /// Whether the lease certainly holds.
-    pub(super) fn may_order(&self) -> bool {
+    /// Whether this node may send orders: its lease is valid, and it has held the lease for at least
+    /// `order_thaw_ms`.
+    pub(super) fn can_order(&self) -> bool {
         let Some(lease) = self.lease else {
             return false;
         };
         let now = self.context.now();
-        let is_awake =
+        let is_thaw_over =
             now.saturating_sub(lease.since) >= self.context.settings.bounds.order_thaw_ms;
-        now < self.valid_until.load(Ordering::Relaxed) && is_awake
+        now < self.valid_until.load(Ordering::Relaxed) && is_thaw_over
     }
 }
--- a/crates/gateway/src/coordinator/mod.rs
+++ b/crates/gateway/src/coordinator/mod.rs
@@ -1,8 +1,9 @@
-//! Gives orders to load versions, while this node holds the lease for orders.
+//! Orders back ends to load model versions, while this node holds the order lease.
 //!
-//! Each order is written down before it is given. The fold of the log says who holds the lease; a
-//! holder relies on it only for a while after each answered sign of life. A new holder gives a
-//! back end an order only when the last one of another machine there is older than the lease bound.
+//! Each order is appended to the log before it is sent. The records of the log decide who holds the lease.
+//! The holder relies on its lease only for a limited time after each heartbeat that the log has confirmed. A
+//! new holder sends an order to a back end only when the last order of another machine to that back end is
+//! older than the lease bound.
 
 mod demand;
 mod harmful_loads;
@@ -32,106 +33,112 @@
 use crate::order_run::{self, Order, OrderStart};
 use crate::work_pace::WorkPace;
 
-/// Pause between two looks at what is to be ordered.
-const LOOK_PAUSE: Duration = Duration::from_millis(100);
-/// Rest after a plan, as a multiple of the time it took: planning uses at most a quarter of the processor.
-const PLAN_REST: u32 = 3;
-/// Pause between two looks at the lease when another node holds it.
-const IDLE_PAUSE: Duration = Duration::from_millis(250);
-/// Time that a back end is left alone after it failed to answer.
-const AVOID_MS: Millis = 1_000;
+/// Interval at which the lease holder checks which orders are due.
+const ORDER_INTERVAL: Duration = Duration::from_millis(100);
+/// Pause after planning, as a multiple of the time that planning took: it uses at most a quarter of one
+/// processor.
+const PLAN_PAUSE_FACTOR: u32 = 3;
+/// Interval at which a node that does not hold the lease checks whether it can claim it.
+const CLAIM_INTERVAL: Duration = Duration::from_millis(250);
+/// Backoff after a back end did not answer; it gets no orders in this time.
+const BACKOFF_MS: Millis = 1_000;
 
-/// Gives orders until the process ends.
+/// Plans and sends the orders of this node while it holds the order lease.
 pub struct Coordinator {
     context: Arc<Context>,
     lease: Option<HeldLease>,
-    /// Orders that each back end has taken, as it last reported.
-    taken: BTreeMap<BackendId, u64>,
-    under_way: BTreeSet<BackendId>,
+    /// Number of orders that each back end has accepted, as it last reported.
+    accepted_orders: BTreeMap<BackendId, u64>,
+    /// Back ends whose order has not ended, at most one order each.
+    in_flight: BTreeSet<BackendId>,
     avoided_until: BTreeMap<BackendId, Millis>,
     load_limit: LoadLimit,
     harmful_loads: HarmfulLoads,
-    /// Until when the lease is relied on; read right before each order is sent.
+    /// Time until which the lease is valid, in the milliseconds of [`Context::now`]. It is read right before
+    /// each order is sent, as the order may have waited for its log append. 0 if the lease is not valid.
     valid_until: Arc<AtomicU64>,
     pace: WorkPace,
     suspension: SuspensionWatch,
-    ended: UnboundedReceiver<OrderEnded>,
-    ended_sender: UnboundedSender<OrderEnded>,
+    outcomes: UnboundedReceiver<OrderOutcome>,
+    outcome_sender: UnboundedSender<OrderOutcome>,
 }
 
-/// The right to give orders, as long as the lease holds.
+/// The order lease as this node holds it.
 #[derive(Debug, Clone, Copy)]
 struct HeldLease {
     term: Term,
     since: Millis,
-    /// When the last sign of life was sent.
-    kept_at: Millis,
-    /// When the last sign of life certainly stood in the log; `None` if its append had no answer. The time
-    /// that the next one tells begins here: an order in front of the former sign is older than that.
-    sign_stood_at: Option<AwakeInstant>,
+    /// When the last heartbeat was sent.
+    last_heartbeat_at: Millis,
+    /// When the last heartbeat was certainly in the log; `None` if its append had no answer. The next
+    /// heartbeat reports the time since then, so that readers of the log never take an order that precedes
+    /// the former heartbeat for older than it is.
+    heartbeat_logged_at: Option<AwakeInstant>,
 }
 
-struct OrderEnded {
+/// The outcome of an order, sent to the coordinator by the task that followed the order.
+struct OrderOutcome {
     backend: BackendId,
-    /// What was ordered, if this holder gave the order.
-    given: Option<Fingerprint>,
+    /// The load that was ordered; `None` if an earlier lease holder sent the order.
+    ordered_load: Option<Fingerprint>,
+    /// The last report of the back end after the order; `None` if there is none.
     report: Option<BackendReport>,
-    /// The load that was ordered, if the back end has its version now.
-    load: Option<EndedLoad>,
+    /// Duration of the load, if this node sent the order and the back end now has the version or a newer one.
+    load: Option<SuccessfulLoad>,
 }
 
-/// A load that ended well.
+/// A successful load.
 #[derive(Debug, Clone, Copy)]
-struct EndedLoad {
+struct SuccessfulLoad {
     took_ms: Millis,
-    /// Orders under way when it was given, itself among them.
-    together: usize,
+    /// Orders in flight when it was sent, including itself.
+    orders_in_flight: usize,
 }
 
 impl Coordinator {
-    /// A coordinator without a term.
+    /// Creates a coordinator that does not hold the lease.
     pub fn new(context: Arc<Context>) -> Self {
-        let (ended_sender, ended) = mpsc::unbounded_channel();
+        let (outcome_sender, outcomes) = mpsc::unbounded_channel();
         let load_limit = LoadLimit::new(context.settings.tuning.loads_at_once);
         Self {
             load_limit,
             harmful_loads: HarmfulLoads::default(),
             context,
             lease: None,
-            taken: BTreeMap::new(),
-            under_way: BTreeSet::new(),
+            accepted_orders: BTreeMap::new(),
+            in_flight: BTreeSet::new(),
             valid_until: Arc::new(AtomicU64::new(0)),
             avoided_until: BTreeMap::new(),
-            pace: WorkPace::new(PLAN_REST),
+            pace: WorkPace::new(PLAN_PAUSE_FACTOR),
             suspension: SuspensionWatch::start(),
-            ended,
-            ended_sender,
+            outcomes,
+            outcome_sender,
         }
     }
 
-    /// Works until the process ends.
+    /// Claims, renews and releases the lease and sends orders, until the process ends.
     pub async fn run(mut self) {
         let context = self.context.clone();
         loop {
             let pause = if self.lease.is_some() {
-                LOOK_PAUSE
+                ORDER_INTERVAL
             } else {
-                IDLE_PAUSE
+                CLAIM_INTERVAL
             };
             tokio::select! {
-                Some(ended) = self.ended.recv() => self.take_ended(ended),
+                Some(outcome) = self.outcomes.recv() => self.record_outcome(outcome),
                 () = context.control_changed.notified() => {}
                 () = tokio::time::sleep(pause) => {}
             }
-            self.note_suspension();
-            self.follow_lease();
+            self.record_suspension();
+            self.update_lease();
             if context.is_stopping() {
                 self.release().await;
             } else if self.lease.is_some() {
-                self.keep_lease().await;
-                if self.may_order() && self.pace.is_due() {
+                self.send_heartbeat_if_due().await;
+                if self.can_order() && self.pace.is_due() {
                     let began = Instant::now();
-                    self.order_next().await;
+                    self.send_due_orders().await;
                     self.pace.done(began);
                 }
             } else if self.claimable_term().is_some() {
@@ -140,7 +147,8 @@
         }
     }
 
-    async fn order_next(&mut self) {
+    /// Plans orders for all pools and sends those that may begin now.
+    async fn send_due_orders(&mut self) {
         let Some(table) = self.context.routes() else {
             return;
         };
@@ -148,14 +156,15 @@
         for pool in table.pools_with_models() {
             let mode = load_mode(&table, &pool.name);
             for order in self.plan(pool, &named) {
-                if self.begin_load(&order) {
-                    self.give(order, mode);
+                if self.try_begin_load(&order) {
+                    self.send_order(order, mode);
                 }
             }
         }
     }
 
-    fn give(&mut self, order: PlannedOrder, mode: LoadMode) {
+    /// Sends a planned order under the current term.
+    fn send_order(&mut self, order: PlannedOrder, mode: LoadMode) {
         let Some(lease) = self.lease else { return };
         let order = Order {
             backend: order.backend,
@@ -165,18 +174,18 @@
             fence: lease.term,
             expected_orders: None,
         };
-        let expected_orders = self.taken.get(&order.backend).copied();
-        self.follow(
+        let expected_orders = self.accepted_orders.get(&order.backend).copied();
+        self.spawn_follower(
             Order {
                 expected_orders,
                 ..order
             },
-            OrderStart::Give,
+            OrderStart::Send,
         );
     }
 
-    /// Asks about orders that an earlier holder gave.
-    fn settle_pending(&mut self) {
+    /// Follows the orders that an earlier holder sent and whose outcome is not in the log.
+    fn follow_pending_orders(&mut self) {
         let pending: Vec<Order> = self
             .context
             .control
@@ -193,26 +202,32 @@
             })
             .collect();
         for order in pending {
-            self.follow(order, OrderStart::Settle);
+            self.spawn_follower(order, OrderStart::Follow);
         }
     }
 
-    fn follow(&mut self, order: Order, start: OrderStart) {
-        if !self.under_way.insert(order.backend.clone()) {
+    /// Starts a task that follows an order, unless one for the same back end is in flight.
+    fn spawn_follower(&mut self, order: Order, start: OrderStart) {
+        if !self.in_flight.insert(order.backend.clone()) {
             return;
         }
-        let (context, sender) = (self.context.clone(), self.ended_sender.clone());
-        let (began, together) = (context.now(), self.under_way.len());
+        let (context, sender) = (self.context.clone(), self.outcome_sender.clone());
+        let (began, orders_in_flight) = (context.now(), self.in_flight.len());
         let valid_until = self.valid_until.clone();
         tokio::spawn(async move {
-            let report = order_run::follow(&context, &order, start, &valid_until).await;
-            let has_version = report.as_ref().is_some_and(|report| order.is_taken(report));
+            let report = order_run::execute(&context, &order, start, &valid_until).await;
+            let has_version = report
+                .as_ref()
+                .is_some_and(|report| order.is_fulfilled_by(report));
             let took_ms = context.now().saturating_sub(began);
-            let is_given = start == OrderStart::Give;
-            let load = (is_given && has_version).then_some(EndedLoad { took_ms, together });
-            // The coordinator is gone only when the process ends.
-            let _ = sender.send(OrderEnded {
-                given: is_given.then(|| fingerprint::of_load(&order.model, order.version)),
+            let is_sent = start == OrderStart::Send;
+            let load = (is_sent && has_version).then_some(SuccessfulLoad {
+                took_ms,
+                orders_in_flight,
+            });
+            // Sending fails only when the process ends and the coordinator is dropped.
+            let _ = sender.send(OrderOutcome {
+                ordered_load: is_sent.then(|| fingerprint::of_load(&order.model, order.version)),
                 backend: order.backend,
                 report,
                 load,
@@ -220,33 +235,37 @@
         });
     }
 
-    fn take_ended(&mut self, ended: OrderEnded) {
-        self.under_way.remove(&ended.backend);
-        if let Some(load) = ended.given {
-            self.harmful_loads.ended(&load);
+    /// Records the outcome of an order that has ended.
+    fn record_outcome(&mut self, outcome: OrderOutcome) {
+        self.in_flight.remove(&outcome.backend);
+        if let Some(load) = outcome.ordered_load {
+            self.harmful_loads.record_end(&load);
         }
-        if let Some(load) = ended.load {
-            self.load_limit.record_load(load.took_ms, load.together);
+        if let Some(load) = outcome.load {
+            self.load_limit
+                .record_load(load.took_ms, load.orders_in_flight);
         }
-        match ended.report {
+        match outcome.report {
             Some(report) => {
                 let mut backends = self.context.backends.lock();
                 for (model, version) in &report.models {
-                    backends.saw_version(&ended.backend, model, *version);
+                    backends.saw_version(&outcome.backend, model, *version);
                 }
                 drop(backends);
-                self.taken.insert(ended.backend, report.orders_taken);
+                self.accepted_orders
+                    .insert(outcome.backend, report.orders_taken);
             }
             None => {
-                self.taken.remove(&ended.backend);
+                self.accepted_orders.remove(&outcome.backend);
                 self.avoided_until
-                    .insert(ended.backend, self.context.now() + AVOID_MS);
+                    .insert(outcome.backend, self.context.now() + BACKOFF_MS);
             }
         }
     }
 }
 
-/// Where results must come from one version, running requests end before a load.
+/// A pool with routes whose results must come from a single version waits for running requests to end before
+/// it loads. Other pools retain running requests during a load.
 fn load_mode(table: &RouteTable, pool: &PoolName) -> LoadMode {
     if table.has_single_version_routes(pool) {
         LoadMode::Wait
--- a/crates/gateway/src/coordinator/suspension.rs
+++ b/crates/gateway/src/coordinator/suspension.rs
@@ -1,4 +1,4 @@
-//! Notices that the machine was suspended, as far as it matters to who gives orders.
+//! Detects suspensions of the machine, so that the ages of other machines' orders do not include them.
 
 use std::time::Duration;
 
@@ -8,32 +8,33 @@
 use super::Coordinator;
 use crate::metrics;
 
-/// How long the machine was suspended in all, as far as was noticed.
+/// Total time for which the machine was suspended up to the last check.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct SuspensionWatch {
-    noticed: Duration,
+    total: Duration,
 }
 
 impl SuspensionWatch {
-    /// Counts from now on.
+    /// Creates a watch that ignores suspensions before now.
     pub(super) fn start() -> Self {
         Self {
-            noticed: havenstage_clock::suspended(),
+            total: havenstage_clock::suspended(),
         }
     }
 
     /// Time for which the machine was suspended since the last call; `None` if it was not.
     fn newly_suspended(&mut self) -> Option<Duration> {
         let suspended = havenstage_clock::suspended();
-        let newly = suspended.saturating_sub(self.noticed);
-        self.noticed = suspended;
+        let newly = suspended.saturating_sub(self.total);
+        self.total = suspended;
         (!newly.is_zero()).then_some(newly)
     }
 }
 
 impl Coordinator {
-    /// Tells of a suspension since the last call, and counts none of it as time that other machines' orders are old.
-    pub(super) fn note_suspension(&mut self) {
+    /// Logs and counts a suspension since the last call, and excludes its time from the ages of other machines'
+    /// orders.
+    pub(super) fn record_suspension(&mut self) {
         let Some(suspended) = self.suspension.newly_suspended() else {
             return;
         };
--- a/crates/gateway/src/lease_grant.rs
+++ b/crates/gateway/src/lease_grant.rs
@@ -1,4 +1,4 @@
-//! The lease for orders as other tasks of its holder use it: calls to the platform are made under it too.
+//! The order lease for other tasks of its holder: calls to the platform are also made under it.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,28 +12,30 @@
 use crate::operations::DutyAuthority;
 use crate::order_run::ORDER_TIMEOUT;
 
-/// The lease that this node holds.
+/// The order lease, while this node holds it.
 #[derive(Debug, Clone)]
 pub struct LeaseGrant {
-    /// The holder's term, which is its fencing token.
+    /// Term of this holder; it is also the fencing token of its calls.
     pub term: Term,
     /// When this node learned that it holds the lease.
     pub since: AwakeInstant,
-    /// Until when the lease is relied on; moves on with each sign of life.
+    /// Until when the holder relies on the lease, in the milliseconds of [`Context::now`]. Each confirmed
+    /// heartbeat extends it; 0 before the first one.
     pub valid_until: Arc<AtomicU64>,
 }
 
-/// Term of the first holder ever: no other one acted before it.
+/// Term of the first holder, which has no predecessor.
 const FIRST_TERM: Term = 1;
 
 impl LeaseGrant {
-    /// Time for which the lease is relied on from now on; `None` if it is not.
+    /// Time from `now` for which the lease is still valid; `None` if it is not valid.
     pub fn remaining_validity(&self, now: Millis) -> Option<Duration> {
         let left = self.valid_until.load(Ordering::Relaxed).saturating_sub(now);
         (left > 0).then(|| Duration::from_millis(left))
     }
 
-    /// What a call to the platform needs to be made under it now; `None` if none may be.
+    /// The authority for a call to the platform now, with the given timeout; `None` if the lease is not valid or
+    /// calls of the previous holder may still arrive.
     pub fn authority(&self, context: &Context, timeout: Duration) -> Option<DutyAuthority> {
         let now = context.now();
         let order_lease = Duration::from_millis(context.settings.bounds.order_lease_ms);
@@ -47,8 +49,9 @@
             })
     }
 
-    /// Whether the last act of any holder before this one is at least `quiet` old: it ended with its lease.
-    pub fn is_previous_holder_done(&self, quiet: Duration) -> bool {
-        self.term <= FIRST_TERM || self.since.elapsed() >= quiet
+    /// Whether the last action of any previous holder is at least `min_age` old. A previous holder
+    /// acts at latest until its lease ends.
+    pub fn is_previous_holder_done(&self, min_age: Duration) -> bool {
+        self.term <= FIRST_TERM || self.since.elapsed() >= min_age
     }
 }
--- a/crates/gateway/src/order_exchange.rs
+++ b/crates/gateway/src/order_exchange.rs
@@ -1,4 +1,4 @@
-//! Exchanges with a back end about its versions: orders and questions.
+//! HTTP exchanges with a back end about its versions: orders and report requests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,33 +12,37 @@
 use crate::context::Context;
 use crate::edge::BackendReport;
 
-/// Time a back end has to answer a question.
+/// Timeout of a report request.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Longest answer to an order or a question.
-const MOST_ANSWER_BYTES: usize = 1024 * 1024;
+/// Longest accepted answer to an order or a report request.
+const MAX_ANSWER_BYTES: usize = 1024 * 1024;
 
-/// Asks a back end what it holds and does; `None` if it gave no good answer in time.
-pub(crate) async fn ask(context: &Arc<Context>, backend: &BackendId) -> Option<BackendReport> {
+/// Requests a report of the versions and activity of a back end; `None` if no valid one came in time.
+pub(crate) async fn request_report(
+    context: &Arc<Context>,
+    backend: &BackendId,
+) -> Option<BackendReport> {
     let request = context.dialect.report_request();
     let sending = Sending::within(REPORT_TIMEOUT);
     let answer = exchange(context, backend, request, sending, REPORT_TIMEOUT).await;
-    // Why there is none makes no difference to who asks.
+    // The callers treat all reasons for a missing report alike.
     let answer = answer.ok()?;
     let is_good = answer.status == StatusCode::OK;
     is_good
         .then(|| context.dialect.read_report(&answer.body))
         .flatten()
-        .filter(|report| is_of_life(report, backend))
+        .filter(|report| is_same_incarnation(report, backend))
 }
 
-/// Whether a report is of this life of its back end: the next one may have the same name, and holds and knows
-/// nothing of what this one did.
-fn is_of_life(report: &BackendReport, backend: &BackendId) -> bool {
-    let told = report.started_at.zip(backend.started_at());
-    told.is_none_or(|(told, known)| told == known)
+/// Whether a report is from the known incarnation of the back end. A back end that restarts may keep its name
+/// but has lost all versions and orders. If either start time is unknown, the report passes.
+fn is_same_incarnation(report: &BackendReport, backend: &BackendId) -> bool {
+    let reported = report.started_at.zip(backend.started_at());
+    reported.is_none_or(|(reported, known)| reported == known)
 }
 
-/// Sends a back end a request that is meant for this life of it, and reads the whole answer.
+/// Sends a request that only the known back end is to accept, and reads the whole answer. The request names the
+/// expected back end in a header.
 pub(crate) async fn exchange(
     context: &Arc<Context>,
     backend: &BackendId,
@@ -53,7 +57,7 @@
         .insert(context.dialect.headers().expected_backend.clone(), expected);
     let exchange = async {
         let answer = chosen.link.send_as(request, sending).await?;
-        answer.whole(MOST_ANSWER_BYTES).await
+        answer.whole(MAX_ANSWER_BYTES).await
     };
     let answer = tokio::time::timeout(timeout, exchange).await;
     answer.unwrap_or(Err(LinkError::TimedOut))
--- a/crates/gateway/src/order_run.rs
+++ b/crates/gateway/src/order_run.rs
@@ -1,5 +1,5 @@
-//! One order to a back end: written down, given under the lease, and followed until the back end was
-//! asked what came of it.
+//! One order to a back end: it is appended to the log, sent under the order lease, and followed until the back
+//! end reports its outcome.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -19,72 +19,75 @@
 use crate::fingerprint;
 use crate::log_writes::append_control;
 use crate::metrics;
-use crate::order_exchange::{ask, exchange};
+use crate::order_exchange::{exchange, request_report};
 
-/// Time from the moment an order begins to be written down within which it reaches its back end and is
-/// answered. Later it is not given: the next holder, who sees when it was written down, allows for so much.
+/// Time from the start of an order's log append within which the back end must receive and answer the order. An
+/// order that is later than that is not sent: the next lease holder knows only when the record was in the log,
+/// and allows for this delay.
 pub const ORDER_TIMEOUT: Duration = Duration::from_millis(800);
-/// Time after an accepted order before its back end is first asked whether it is done.
-const FIRST_QUESTION: Duration = Duration::from_millis(900);
-/// Time between two questions.
-const QUESTION_PAUSE: Duration = Duration::from_millis(150);
-/// Reports lag: one that shows an idle back end with its old version counts only so long after an
-/// order that was accepted.
-const ACCEPTED_SHOWS_AFTER: Duration = Duration::from_millis(1_800);
-/// The same after an order that was refused or not answered.
-const OTHERS_SHOW_AFTER: Duration = Duration::from_millis(500);
-/// Time after which nothing more is expected of an order.
-const GIVEN_UP_AFTER: Duration = Duration::from_millis(4_000);
-/// Questions without an answer after which the back end is left alone.
-const MOST_UNANSWERED: u32 = 3;
+/// Time after an accepted order before its back end is first polled for a report.
+const FIRST_POLL_DELAY: Duration = Duration::from_millis(900);
+/// Interval between two polls.
+const POLL_INTERVAL: Duration = Duration::from_millis(150);
+/// Time after an accepted order from which a report counts that shows an idle back end with its old version:
+/// reports lag behind the state of the back end.
+const ACCEPTED_REPORT_LAG: Duration = Duration::from_millis(1_800);
+/// The same after an order that was refused or not answered, or that an earlier holder sent.
+const OTHER_REPORT_LAG: Duration = Duration::from_millis(500);
+/// Time from the start of an order after which its outcome is no longer awaited.
+const OUTCOME_TIMEOUT: Duration = Duration::from_millis(4_000);
+/// Unanswered polls after which the outcome is no longer awaited.
+const MAX_UNANSWERED_POLLS: u32 = 3;
 
-/// An order.
+/// An order to one back end to load a version of a model.
 #[derive(Debug, Clone)]
 pub struct Order {
-    /// The back end.
+    /// The back end that is to load the version.
     pub backend: BackendId,
-    /// The model.
+    /// The model whose version is loaded.
     pub model: ModelName,
     /// The version to load.
     pub version: Version,
-    /// What becomes of running requests.
+    /// What happens to running requests during the load.
     pub mode: LoadMode,
-    /// The fencing token.
+    /// Fencing token: the term of the lease holder that sends the order. Not used for an order of an earlier
+    /// holder.
     pub fence: u64,
-    /// Orders that the back end has taken so far, if known.
+    /// Number of orders that the back end has accepted so far; `None` if it is to be asked first. The back end
+    /// refuses the order if its own count differs.
     pub expected_orders: Option<u64>,
 }
 
 impl Order {
-    /// Whether a back end that reports so has the version, or a newer one.
-    pub fn is_taken(&self, report: &BackendReport) -> bool {
+    /// Whether a report shows the version of the order or a newer one.
+    pub fn is_fulfilled_by(&self, report: &BackendReport) -> bool {
         let version = report.models.get(&self.model);
         version.is_some_and(|version| *version >= self.version)
     }
 }
 
-/// Where to begin.
+/// Which steps of an order remain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderStart {
-    /// The order is to be given.
-    Give,
-    /// It was given by an earlier holder; only its outcome is asked for.
-    Settle,
+    /// The order is to be appended to the log, sent and followed.
+    Send,
+    /// An earlier lease holder sent the order; only its outcome is awaited.
+    Follow,
 }
 
-/// What came of giving an order.
+/// Result of sending an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Given {
+enum SendOutcome {
     /// The back end answered.
     Answered(StatusCode),
-    /// No answer came; the back end may carry it out.
+    /// No answer came; the back end may carry out the order.
     Unanswered,
-    /// Nothing of it was sent.
+    /// No part of the order was sent.
     Unsent,
 }
 
-impl Given {
-    /// Its name in metrics.
+impl SendOutcome {
+    /// The label in metrics.
     fn name(self) -> &'static str {
         match self {
             Self::Answered(StatusCode::OK) => "holds",
@@ -96,38 +99,39 @@
     }
 }
 
-/// Until when an order may be given.
-struct OrderPermit<'a> {
-    /// Until when the next holder expects it to have reached its back end.
-    give_until: Instant,
-    /// Until when the lease is relied on.
+/// Time limits for sending an order.
+struct SendLimits<'a> {
+    /// When the order must have reached its back end, as the next lease holder assumes.
+    send_by: Instant,
+    /// Until when the lease is valid, in the milliseconds of [`Context::now`].
     valid_until: &'a AtomicU64,
 }
 
-/// Follows an order to its end. The report is the back end's last word, `None` if it has none.
-pub async fn follow(
+/// Carries out an order and awaits its outcome. Returns the last report of the back end. `None` if it gave
+/// none, if its order count could not be read, or if the order could not be appended to the log.
+pub async fn execute(
     context: &Arc<Context>,
     order: &Order,
     start: OrderStart,
     valid_until: &AtomicU64,
 ) -> Option<BackendReport> {
     let began = Instant::now();
-    let mut given = Given::Unsent;
-    if start == OrderStart::Give {
+    let mut send_outcome = SendOutcome::Unsent;
+    if start == OrderStart::Send {
         let expected_orders = match order.expected_orders {
             Some(count) => count,
-            None => ask(context, &order.backend).await?.orders_taken,
+            None => request_report(context, &order.backend).await?.orders_taken,
         };
-        let give_until = Instant::now() + ORDER_TIMEOUT;
-        write_down(context, order).await.ok()?;
-        let permit = OrderPermit {
-            give_until,
+        let send_by = Instant::now() + ORDER_TIMEOUT;
+        append_order(context, order).await.ok()?;
+        let limits = SendLimits {
+            send_by,
             valid_until,
         };
-        given = give(context, order, expected_orders, permit).await;
+        send_outcome = send(context, order, expected_orders, limits).await;
     }
-    let report = settle(context, order, given, began).await;
-    note_crashes(context, order, given, report.as_ref()).await;
+    let report = await_outcome(context, order, send_outcome, began).await;
+    record_load_outcome(context, order, send_outcome, report.as_ref()).await;
     let records = outcome_records(order, report.as_ref());
     info!(event = "order_ended", backend = order.backend.as_str(), model = order.model.as_str(),
         version = order.version, outcome = format!("{records:?}").as_str(),
@@ -141,22 +145,22 @@
     report
 }
 
-/// Notes what came of an order: whether loading the version ends back ends.
-async fn note_crashes(
+/// Records for the crash ledger whether the back end survived the load.
+async fn record_load_outcome(
     context: &Arc<Context>,
     order: &Order,
-    given: Given,
+    send_outcome: SendOutcome,
     report: Option<&BackendReport>,
 ) {
     let load = || fingerprint::of_load(&order.model, order.version);
-    match (report, given) {
-        (Some(report), _) if order.is_taken(report) => {
+    match (report, send_outcome) {
+        (Some(report), _) if order.is_fulfilled_by(report) => {
             crash_guard::answered(context, &order.backend, true, load);
         }
         (Some(_), _) => {}
-        // One that had ended before says nothing of the version.
-        (None, Given::Unsent) => {}
-        (None, Given::Answered(_) | Given::Unanswered) => {
+        // The back end was away before the order reached it, so its end is no evidence against the version.
+        (None, SendOutcome::Unsent) => {}
+        (None, SendOutcome::Answered(_) | SendOutcome::Unanswered) => {
             let Some(chosen) = context.backends.take(&order.backend) else {
                 return;
             };
@@ -172,8 +176,9 @@
     }
 }
 
-/// What all nodes are told of an order that has ended. A version that is older than the one ordered says
-/// nothing of the order, as it may be told late: one that was not taken is withdrawn besides.
+/// The records that report the outcome of an order to all nodes. An observed version that is older than the
+/// ordered one does not show that the order has ended, as the observation may be delayed. So an order that was
+/// not fulfilled also gets a record that withdraws it.
 fn outcome_records(order: &Order, report: Option<&BackendReport>) -> Vec<ControlRecord> {
     let version = report.map(|report| report.models.get(&order.model).copied().unwrap_or(0));
     let observed = version.map(|version| ControlRecord::Observed {
@@ -181,14 +186,15 @@
         model: order.model.clone(),
         version,
     });
-    let is_taken = version.is_some_and(|version| version >= order.version);
-    let withdrawn = (!is_taken).then(|| ControlRecord::Withdrawn {
+    let is_fulfilled = version.is_some_and(|version| version >= order.version);
+    let withdrawn = (!is_fulfilled).then(|| ControlRecord::Withdrawn {
         backend: order.backend.clone(),
     });
     observed.into_iter().chain(withdrawn).collect()
 }
 
-async fn write_down(context: &Context, order: &Order) -> Result<(), LogError> {
+/// Appends the record of an order to the log, before the order is sent.
+async fn append_order(context: &Context, order: &Order) -> Result<(), LogError> {
     let record = ControlRecord::Ordered {
         holder: context.node.clone(),
         backend: order.backend.clone(),
@@ -203,12 +209,13 @@
     written.map(|_| ())
 }
 
-async fn give(
+/// Sends an order, unless the lease or the time limit has expired.
+async fn send(
     context: &Arc<Context>,
     order: &Order,
     expected_orders: u64,
-    permit: OrderPermit<'_>,
-) -> Given {
+    limits: SendLimits<'_>,
+) -> SendOutcome {
     let request = context.dialect.order_request(&VersionOrder {
         model: order.model.clone(),
         version: order.version,
@@ -218,57 +225,58 @@
         expected_orders: Some(expected_orders),
     });
     let (began, now) = (Instant::now(), context.now());
-    let reliable_ms = permit
+    let validity_ms = limits
         .valid_until
         .load(Ordering::Relaxed)
         .saturating_sub(now);
-    let is_reliable = reliable_ms > 0;
-    let time_left = permit.give_until.saturating_duration_since(began);
-    // Nothing is written once the lease may be another's, however long the connection takes to come up or
-    // the process stands still.
-    let write_by = permit
-        .give_until
-        .min(began + Duration::from_millis(reliable_ms));
+    let is_lease_valid = validity_ms > 0;
+    let time_left = limits.send_by.saturating_duration_since(began);
+    // Nothing is written once another node may hold the lease, even if the connection takes long to open or the
+    // process is paused.
+    let write_by = limits
+        .send_by
+        .min(began + Duration::from_millis(validity_ms));
     let sending = Sending::within(time_left).written_by(write_by);
-    let answer = match is_reliable && !time_left.is_zero() {
+    let answer = match is_lease_valid && !time_left.is_zero() {
         true => exchange(context, &order.backend, request, sending, time_left).await,
         false => Err(LinkError::TooLate),
     };
-    let given = match answer {
-        Ok(answer) => Given::Answered(answer.status),
-        Err(error) if error.is_unsent() => Given::Unsent,
-        Err(_) => Given::Unanswered,
+    let send_outcome = match answer {
+        Ok(answer) => SendOutcome::Answered(answer.status),
+        Err(error) if error.is_unsent() => SendOutcome::Unsent,
+        Err(_) => SendOutcome::Unanswered,
     };
-    let status_text = match given {
-        Given::Answered(status) => status.as_u16().to_string(),
-        Given::Unanswered | Given::Unsent => "none".to_owned(),
+    let status_text = match send_outcome {
+        SendOutcome::Answered(status) => status.as_u16().to_string(),
+        SendOutcome::Unanswered | SendOutcome::Unsent => "none".to_owned(),
     };
     info!(event = "order_given", backend = order.backend.as_str(), model = order.model.as_str(),
         version = order.version, fence = order.fence, expected_orders = expected_orders,
-        lease_held = is_reliable, left_ms = time_left.as_millis() as u64, status = status_text.as_str(); "");
-    metrics::order_answered(given.name());
-    given
+        lease_held = is_lease_valid, left_ms = time_left.as_millis() as u64, status = status_text.as_str(); "");
+    metrics::order_answered(send_outcome.name());
+    send_outcome
 }
 
-/// Asks the back end until it carries out no order and its report cannot be from before this one.
-async fn settle(
+/// Polls the back end until it is idle and its report cannot date from before the order. `None` if it is no longer
+/// listed, or if it does not answer or stays busy for too long.
+async fn await_outcome(
     context: &Arc<Context>,
     order: &Order,
-    given: Given,
+    send_outcome: SendOutcome,
     began: Instant,
 ) -> Option<BackendReport> {
-    let (first_question, shows_after) = match given {
-        Given::Answered(StatusCode::ACCEPTED) => (FIRST_QUESTION, ACCEPTED_SHOWS_AFTER),
-        _ => (Duration::ZERO, OTHERS_SHOW_AFTER),
+    let (first_poll_delay, report_lag) = match send_outcome {
+        SendOutcome::Answered(StatusCode::ACCEPTED) => (FIRST_POLL_DELAY, ACCEPTED_REPORT_LAG),
+        _ => (Duration::ZERO, OTHER_REPORT_LAG),
     };
     let sent = Instant::now();
-    tokio::time::sleep(first_question).await;
+    tokio::time::sleep(first_poll_delay).await;
     let mut unanswered = 0;
     loop {
-        match ask(context, &order.backend).await {
+        match request_report(context, &order.backend).await {
             Some(report) if !report.busy => {
                 let version = report.models.get(&order.model).copied().unwrap_or(0);
-                if version >= order.version || sent.elapsed() >= shows_after {
+                if version >= order.version || sent.elapsed() >= report_lag {
                     return Some(report);
                 }
             }
@@ -276,10 +284,10 @@
             None => unanswered += 1,
         }
         let is_listed = context.backends.lock().list.get(&order.backend).is_some();
-        let is_over = began.elapsed() >= GIVEN_UP_AFTER || unanswered >= MOST_UNANSWERED;
+        let is_over = began.elapsed() >= OUTCOME_TIMEOUT || unanswered >= MAX_UNANSWERED_POLLS;
         if is_over || !is_listed {
             return None;
         }
-        tokio::time::sleep(QUESTION_PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
