--- a/crates/gateway/src/metering/counter.rs
+++ b/crates/gateway/src/metering/counter.rs
@@ -1,4 +1,4 @@
-//! What this node has counted and not yet written.
+//! The request counts of this node, and which of them the log does not hold yet.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
@@ -7,58 +7,60 @@
 use havenstage_rollout::usage::{self, UsageMeter, UsageRecord, UsageWindow};
 use tokio::sync::Notify;
 
-/// Windows that are kept after they were written: a record that is lost with the log is not written again.
-const KEPT_WINDOWS: u64 = 12;
+/// Windows for which counts are kept after they were written. A record that the log loses later is not written
+/// again.
+const RETAINED_WINDOWS: u64 = 12;
 
 /// Counts requests by tenant and window.
 pub struct UsageCounter {
-    /// Length of a window in milliseconds; `None` where nothing is metered.
+    /// Length of a window in milliseconds; `None` if metering is off.
     window_ms: Option<u64>,
     meter: Mutex<UsageMeter>,
-    grown: Notify,
+    /// Notified when a request was counted.
+    counted: Notify,
 }
 
 impl UsageCounter {
-    /// Nothing counted yet.
+    /// Creates an empty counter with windows of `window_ms` milliseconds; with `None`, nothing is counted.
     pub fn new(window_ms: Option<u64>) -> Self {
         Self {
             window_ms,
             meter: Mutex::default(),
-            grown: Notify::new(),
+            counted: Notify::new(),
         }
     }
 
-    /// A back end began a request of a tenant at a time of day.
+    /// Counts a request of a tenant that a back end began at this time of day, in milliseconds.
     pub fn record_request(&self, tenant: &TenantName, at: UnixMillis) {
         let Some(window_ms) = self.window_ms else {
             return;
         };
         self.lock()
             .count_request(tenant, usage::window_at(at, window_ms));
-        self.grown.notify_one();
+        self.counted.notify_one();
     }
 
-    /// Whether the log holds all that was counted.
+    /// Whether the log holds all counts of this node.
     pub fn is_written(&self, node: &NodeId) -> bool {
         self.lock().unwritten_records(node).is_empty()
     }
 
-    /// Waits until something was counted.
-    pub(crate) async fn grown(&self) {
-        self.grown.notified().await;
+    /// Waits until a request was counted.
+    pub(crate) async fn counted(&self) {
+        self.counted.notified().await;
     }
 
-    /// What the log doesn't hold.
-    pub(crate) fn unwritten(&self, node: &NodeId) -> Vec<UsageRecord> {
+    /// Records of the counts that the log does not hold yet.
+    pub(crate) fn unwritten_records(&self, node: &NodeId) -> Vec<UsageRecord> {
         self.lock().unwritten_records(node)
     }
 
-    /// These records stand in the log at a time of day.
-    pub(crate) fn written(&self, records: &[UsageRecord], at: UnixMillis) {
+    /// Marks records as held by the log, and drops the counts of windows that are too old at this time of day.
+    pub(crate) fn mark_written(&self, records: &[UsageRecord], at: UnixMillis) {
         let mut meter = self.lock();
         meter.mark_written(records);
         let window: UsageWindow = usage::window_at(at, self.window_ms.unwrap_or(1));
-        meter.forget_before(window.saturating_sub(KEPT_WINDOWS));
+        meter.forget_before(window.saturating_sub(RETAINED_WINDOWS));
     }
 
     fn lock(&self) -> MutexGuard<'_, UsageMeter> {
--- a/crates/gateway/src/metering/mod.rs
+++ b/crates/gateway/src/metering/mod.rs
@@ -1,5 +1,5 @@
-//! Metering: every node counts the requests that back ends began for it, and the holder of the lease for
-//! orders reports the sums to the platform.
+//! Usage metering: each node counts the requests that back ends began for it, by tenant and time window, and
+//! appends the counts to the log. The holder of the order lease reports the sums of all nodes to the platform.
 
 mod counter;
 mod reporter;
--- a/crates/gateway/src/metering/reporter.rs
+++ b/crates/gateway/src/metering/reporter.rs
@@ -1,4 +1,4 @@
-//! Decides the sums of windows that are over, and reports them to the platform.
+//! Decides the usage sums of windows that are over, and reports them to the platform.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,53 +19,55 @@
 use crate::settings::MeteringSettings;
 use crate::stream_view::StreamView;
 
-/// Pause between two looks at what is due.
-const LOOK_PAUSE: Duration = Duration::from_millis(200);
-/// Pause after something was done: windows that have piled up are reported one after another, at most 40 a second of the
-/// 50 calls that the users' platform takes.
-const NEXT_PAUSE: Duration = Duration::from_millis(25);
-/// Share of the time in which a report is due after which its window is decided. Counts that come later are
-/// lost; a window that is decided later is reported late where its holder is lost just before: the next one acts
-/// 1.3 s + 3.8 s later, 9.6 s after the window's end where 10 s are allowed.
+/// Interval at which a due window or report is looked for.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// Pause after a decision or report, while more may be due. A backlog of windows is reported at no more than 40 calls a
+/// second; the platform accepts 50.
+const BACKLOG_PAUSE: Duration = Duration::from_millis(25);
+/// Share of the time in which a report is due after which the sum of its window is decided. Counts that reach the
+/// log later are lost. A greater share would make reports late if the lease holder fails just before the decision:
+/// the next holder acts 1.3 s + 3.8 s later, 9.6 s after the end of the window, where 10 s are allowed.
 const DECIDE_SHARE: f64 = 0.45;
-/// The same where the log could not be read all the time: nodes may only now be writing what they counted.
+/// The same if the log could not be read all the time: nodes may still have to write their counts.
 const DECIDE_AFTER_OUTAGE_SHARE: f64 = 0.8;
-/// Time after an outage of the log in which nodes write what they counted meanwhile.
+/// Time after an outage of the log in which nodes append the counts that they gathered during the outage.
 const CATCH_UP_MS: Millis = 1_000;
-/// Time for a report to be answered.
+/// Timeout of a report to the platform.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(800);
 /// Pause after a report that failed.
 const RETRY_PAUSE: Duration = Duration::from_millis(500);
-/// Windows after which a report that fails again and again is given up.
-const GIVEN_UP_AFTER_WINDOWS: u64 = 12;
+/// Number of windows after which a report that still fails is given up. The first lease holder also starts no further
+/// back than this.
+const MAX_AGE_WINDOWS: u64 = 12;
 
-/// What came of one step.
+/// Result of one step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Step {
-    /// Something was decided or reported; more may be due.
+    /// A window was decided or reported; more may be due.
     Done,
     /// Nothing is due.
     NothingDue,
-    /// The platform did not take a report.
+    /// The platform did not confirm a report.
     Failed,
 }
 
-/// Reports usage while this node holds the lease for orders.
+/// Reports usage to the platform while this node holds the order lease.
 pub(crate) struct UsageReporter {
     context: Arc<Context>,
     api: Arc<dyn OperationsApi>,
     settings: MeteringSettings,
+    /// The counts of all nodes, by partition of the usage stream.
     totals: Vec<StreamView<UsageTotals>>,
 }
 
 impl UsageReporter {
-    /// A reporter that has read nothing yet.
+    /// Creates a reporter that has read nothing from the log yet.
     pub(crate) fn new(
         context: Arc<Context>,
         api: Arc<dyn OperationsApi>,
         settings: MeteringSettings,
     ) -> Self {
-        // Nobody waits for what is read here.
+        // No task waits for this notification.
         let wakes = Arc::new(Notify::new());
         let partitions = 0..context.settings.log.partitions;
         let totals = partitions.map(|partition| {
@@ -83,25 +85,25 @@
         }
     }
 
-    /// Works until the process ends.
+    /// Decides and reports windows until the process ends.
     pub(crate) async fn run(self) {
-        let mut pause = LOOK_PAUSE;
+        let mut pause = POLL_INTERVAL;
         loop {
             tokio::time::sleep(pause).await;
-            pause = LOOK_PAUSE;
+            pause = POLL_INTERVAL;
             let grant = self.context.lease_grant();
             let authority = grant.and_then(|grant| grant.authority(&self.context, REPORT_TIMEOUT));
             let Some(authority) = authority else {
                 continue;
             };
-            let to_report = self.ledger_entry();
-            let outcome = match to_report {
+            let unreported = self.oldest_unsettled();
+            let outcome = match unreported {
                 Some(decided) => self.report(&decided, &authority).await,
                 None => self.decide_next().await,
             };
             pause = match outcome {
-                Ok(Step::Done) => NEXT_PAUSE,
-                Ok(Step::NothingDue) => LOOK_PAUSE,
+                Ok(Step::Done) => BACKLOG_PAUSE,
+                Ok(Step::NothingDue) => POLL_INTERVAL,
                 Ok(Step::Failed) => RETRY_PAUSE,
                 Err(error) => {
                     warn!(event = "usage_not_reported", reason = error.to_string().as_str(); "");
@@ -111,45 +113,47 @@
         }
     }
 
-    fn ledger_entry(&self) -> Option<DecidedUsage> {
+    /// The oldest decided window whose report is not settled.
+    fn oldest_unsettled(&self) -> Option<DecidedUsage> {
         let control = self.context.control.lock();
         control.state.usage().oldest_unsettled().cloned()
     }
 
-    /// Decides the next window if it is due.
+    /// Decides the window after the newest decided one, if it is due.
     async fn decide_next(&self) -> Result<Step, LogError> {
-        let today = self.context.time_of_day.now();
+        let unix_now = self.context.time_of_day.now();
         let newest = self.context.control.lock().state.usage().newest();
-        let present = usage::window_at(today, self.settings.window_ms);
+        let present = usage::window_at(unix_now, self.settings.window_ms);
         let Some(newest) = newest else {
-            return self.begin(today).await;
+            return self.decide_start(unix_now).await;
         };
         let next = newest + 1;
-        let over_for = today.saturating_sub((next + 1) * self.settings.window_ms);
-        if next >= present || over_for < self.decided_after() {
+        let over_for = unix_now.saturating_sub((next + 1) * self.settings.window_ms);
+        if next >= present || over_for < self.decision_delay() {
             return Ok(Step::NothingDue);
         }
-        let counts = self.sum(next).await?;
-        self.write_down(next, counts).await
+        let counts = self.sum_counts(next).await?;
+        self.append_decision(next, counts).await
     }
 
-    /// The first holder ever begins in front of the oldest window of which something was counted, or that is not due yet:
-    /// counts of that one may still be on their way.
-    async fn begin(&self, today: UnixMillis) -> Result<Step, LogError> {
+    /// Sets where the first lease holder starts, by an empty decision for the window before. The start is the oldest
+    /// window with counts in the log or the oldest that is not due yet, whichever is older, as counts of a window
+    /// that is not due may still reach the log.
+    async fn decide_start(&self, unix_now: UnixMillis) -> Result<Step, LogError> {
         self.read_all().await?;
         let oldest = self
             .totals
             .iter()
             .filter_map(|view| view.lock().state.oldest());
-        let not_due = today.saturating_sub(self.decided_after());
+        let not_due = unix_now.saturating_sub(self.decision_delay());
         let not_due = usage::window_at(not_due, self.settings.window_ms);
         let first = oldest.min().unwrap_or(not_due).min(not_due);
-        let bounded = first.max(not_due.saturating_sub(GIVEN_UP_AFTER_WINDOWS));
-        self.write_down(bounded.saturating_sub(1), RequestCounts::new())
+        let bounded = first.max(not_due.saturating_sub(MAX_AGE_WINDOWS));
+        self.append_decision(bounded.saturating_sub(1), RequestCounts::new())
             .await
     }
 
-    /// Reads what all nodes have counted, as far as it stands in the log now.
+    /// Reads the counts of all nodes up to the current end of the log.
     async fn read_all(&self) -> Result<(), LogError> {
         let (log, clock) = (self.context.log.as_ref(), self.context.clock);
         for view in &self.totals {
@@ -158,8 +162,8 @@
         Ok(())
     }
 
-    /// Time after its end at which a window is decided, in milliseconds.
-    fn decided_after(&self) -> Millis {
+    /// Time from the end of a window to its decision, in milliseconds.
+    fn decision_delay(&self) -> Millis {
         let now = self.context.now();
         let readable_since = self.context.control.readable_since(now);
         let is_caught_up = readable_since.is_some_and(|since| now >= since + CATCH_UP_MS);
@@ -170,8 +174,8 @@
         (self.settings.due_ms as f64 * share) as Millis
     }
 
-    /// What all nodes have counted in a window, as far as it stands in the log now.
-    async fn sum(&self, window: UsageWindow) -> Result<RequestCounts, LogError> {
+    /// Sums the counts of all nodes in a window, up to the current end of the log.
+    async fn sum_counts(&self, window: UsageWindow) -> Result<RequestCounts, LogError> {
         self.read_all().await?;
         let mut counts = RequestCounts::new();
         for view in &self.totals {
@@ -182,19 +186,21 @@
         Ok(counts)
     }
 
-    async fn write_down(
+    /// Appends the decision for a window to the log.
+    async fn append_decision(
         &self,
         window: UsageWindow,
         counts: RequestCounts,
     ) -> Result<Step, LogError> {
         let requests: u64 = counts.values().sum();
         info!(event = "usage_decided", window = window, tenants = counts.len(), requests = requests; "");
-        // Another holder's decision may stand before it.
+        // A decision of another holder may precede it in the log; the first one counts.
         let record = ControlRecord::UsageDecided { window, counts };
         append_control_and_read(&self.context, &record).await?;
         Ok(Step::Done)
     }
 
+    /// Reports a decided window, and settles it if the platform confirms the report or it is given up.
     async fn report(
         &self,
         decided: &DecidedUsage,
@@ -208,12 +214,12 @@
         let answer = self.api.report_usage(&report, authority).await;
         let outcome = answer.map_or_else(DutyError::name, |()| "done");
         metrics::usage_reported(outcome);
-        let today = self.context.time_of_day.now();
-        let over_for = today.saturating_sub((decided.window + 1) * self.settings.window_ms);
+        let unix_now = self.context.time_of_day.now();
+        let over_for = unix_now.saturating_sub((decided.window + 1) * self.settings.window_ms);
         info!(event = "usage_reported", window = decided.window, fence = authority.fence,
             outcome = outcome, over_for_ms = over_for,
             took_ms = began.elapsed().as_millis() as u64; "");
-        let is_given_up = over_for > GIVEN_UP_AFTER_WINDOWS * self.settings.window_ms;
+        let is_given_up = over_for > MAX_AGE_WINDOWS * self.settings.window_ms;
         if answer.is_err() && !is_given_up {
             return Ok(Step::Failed);
         }
--- a/crates/gateway/src/operations.rs
+++ b/crates/gateway/src/operations.rs
@@ -1,4 +1,4 @@
-//! The platform's interface for operations, as a trait: calls that one node makes for all, under the lease for orders.
+//! The platform's interface for operations, as a trait: calls that one node makes for all nodes, under the order lease.
 
 use std::time::Duration;
 
@@ -8,55 +8,55 @@
 use havenstage_rollout::usage::{RequestCounts, UsageWindow};
 use thiserror::Error;
 
-/// On whose behalf a call to the platform is made.
+/// The lease holder that makes a call to the platform, and the time limits of the call.
 #[derive(Debug, Clone)]
 pub struct DutyAuthority {
-    /// Name of the holder of the lease.
+    /// Name of the node that holds the order lease.
     pub holder: String,
-    /// The holder's fencing token.
+    /// Fencing token of the call: the term of the lease holder. It is higher for each later holder.
     pub fence: u64,
-    /// Time after which nothing of the call may be written: the lease may be another's.
+    /// When the call must be written completely: another node may hold the lease after that.
     pub write_by: Instant,
-    /// Time for the call to be answered.
+    /// Time in which the call must be answered.
     pub timeout: Duration,
 }
 
-/// The usage of a window.
+/// The usage of all tenants in one window.
 #[derive(Debug)]
 pub struct UsageReport<'a> {
-    /// The window.
+    /// Number of the window.
     pub window: UsageWindow,
-    /// Requests of each tenant.
+    /// Number of requests that back ends began for each tenant.
     pub counts: &'a RequestCounts,
 }
 
-/// How many back ends of a pool a zone is to have.
+/// The number of back ends that a zone is to provide for a pool.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SizeOrder {
-    /// The pool.
+    /// Pool that is resized.
     pub pool: PoolName,
-    /// The zone.
+    /// Zone in which the back ends run.
     pub zone: ZoneName,
-    /// Back ends there.
+    /// Total number of back ends of the pool in the zone.
     pub size: u32,
 }
 
 /// Why a call to the platform failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum DutyError {
-    /// Nothing of it was sent.
+    /// No part of the call was sent.
     #[error("the platform cannot be reached")]
     NotSent,
-    /// It was refused.
+    /// The platform answered with this HTTP status.
     #[error("the platform refused the call with status {0}")]
     Refused(u16),
-    /// No answer came; it may have been taken.
+    /// No answer came; the platform may have carried out the call.
     #[error("no answer came from the platform")]
     Unanswered,
 }
 
 impl DutyError {
-    /// Its name in logs and metrics.
+    /// The label in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::NotSent => "not_sent",
@@ -66,17 +66,25 @@
     }
 }
 
-/// The platform's interface for operations: calls that one node makes for all.
+/// Calls to the platform that one node makes for all nodes. Each call carries the authority of the order lease.
 #[async_trait]
 pub trait OperationsApi: Send + Sync {
-    /// Reports the usage of a window. An exact repetition changes nothing.
+    /// Reports the usage of a window. Repeating a report with the same counts has no effect.
+    ///
+    /// # Errors
+    ///
+    /// If the call was not sent, was refused or was not answered in time.
     async fn report_usage(
         &self,
         report: &UsageReport<'_>,
         authority: &DutyAuthority,
     ) -> Result<(), DutyError>;
 
-    /// Orders a size. Repeating it changes nothing.
+    /// Orders the size of a pool in a zone. Repeating an order has no effect.
+    ///
+    /// # Errors
+    ///
+    /// If the call was not sent, was refused or was not answered in time.
     async fn order_size(
         &self,
         order: &SizeOrder,
--- a/crates/gateway/src/sizing.rs
+++ b/crates/gateway/src/sizing.rs
@@ -1,4 +1,4 @@
-//! Orders the sizes of pools from the platform, while this node holds the lease for orders.
+//! Orders pool sizes from the platform, while this node holds the order lease.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,55 +17,56 @@
 use crate::metrics;
 use crate::operations::{DutyAuthority, DutyError, OperationsApi, SizeOrder};
 
-/// Pause between two looks at the pools.
-const LOOK_PAUSE: Duration = Duration::from_millis(250);
-/// Time for an order to be answered.
+/// Interval at which the load of the pools is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// Timeout of a size order.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Share of the time within which a batch is due after which it is taken to be behind: a new back end serves
-/// seconds later.
+/// Share of the time in which a batch is due after which the batch counts as behind. It is below 1, as a new back
+/// end serves only some seconds after it is ordered.
 const BEHIND_SHARE: f64 = 0.8;
 
-/// Keeps pools at the size that their load needs.
+/// Adjusts the size of each pool to its load.
 pub(crate) struct PoolSizeController {
     context: Arc<Context>,
     api: Arc<dyn OperationsApi>,
     sizers: BTreeMap<PoolName, PoolSizer>,
-    /// The size that each zone's last answered order named, and the term it was given in.
-    answered: BTreeMap<(PoolName, ZoneName), (Term, u32)>,
+    /// Size in the last successful order for each pool and zone, and the term under which it was sent. Such an order
+    /// is not repeated in the same term.
+    acknowledged: BTreeMap<(PoolName, ZoneName), (Term, u32)>,
 }
 
 impl PoolSizeController {
-    /// One that has ordered nothing.
+    /// Creates a controller that has ordered nothing.
     pub(crate) fn new(context: Arc<Context>, api: Arc<dyn OperationsApi>) -> Self {
         Self {
             context,
             api,
             sizers: BTreeMap::new(),
-            answered: BTreeMap::new(),
+            acknowledged: BTreeMap::new(),
         }
     }
 
-    /// Works until the process ends.
+    /// Checks the pools and sends size orders, until the process ends.
     pub(crate) async fn run(mut self) {
         loop {
-            tokio::time::sleep(LOOK_PAUSE).await;
-            let orders = self.wanted_orders();
+            tokio::time::sleep(POLL_INTERVAL).await;
+            let orders = self.size_orders();
             let Some(term) = self.context.lease_grant().map(|grant| grant.term) else {
                 continue;
             };
             for order in orders {
                 let key = (order.pool.clone(), order.zone.clone());
-                if self.answered.get(&key) != Some(&(term, order.size)) {
-                    self.give(order).await;
+                if self.acknowledged.get(&key) != Some(&(term, order.size)) {
+                    self.send_order(order).await;
                 }
             }
         }
     }
 
-    /// What each zone of each pool is to have, of those whose size was ever ordered. Every node looks, so that the next
-    /// holder knows how large the pools are.
-    fn wanted_orders(&mut self) -> Vec<SizeOrder> {
+    /// The size of each zone of each pool, of those whose size was ever ordered or is ordered now. Nodes without the
+    /// lease run this as well: they observe the back ends that are ready, so that the next holder knows the pool sizes.
+    fn size_orders(&mut self) -> Vec<SizeOrder> {
         let Some(table) = self.context.routes() else {
             return Vec::new();
         };
@@ -90,26 +91,28 @@
         orders
     }
 
-    /// The sizes ordered last, by whichever holder.
+    /// The sizes that were ordered last, by any lease holder.
     fn ordered(&self, pool: &PoolName) -> ZoneSizes {
         let control = self.context.control.lock();
         let sizes = control.state.sizes().get(pool);
         sizes.cloned().unwrap_or_default()
     }
 
-    /// Whether an open batch of a pool has used up most of the time within which it is due.
+    /// Whether an open batch of a pool has used most of the time in which it is due.
     fn is_behind(&self, table: &RouteTable, pool: &PoolName, now: Millis) -> bool {
         let control = self.context.control.lock();
         let mut open = control.state.index().open();
         open.any(|batch| {
             let route = table.batch_route(&batch.notice.host, &batch.notice.path);
-            let of_pool = route.filter(|route| route.pools.iter().any(|part| part.pool == *pool));
-            let due_ms = of_pool.and_then(|route| route.due_ms);
+            let pool_route =
+                route.filter(|route| route.pools.iter().any(|part| part.pool == *pool));
+            let due_ms = pool_route.and_then(|route| route.due_ms);
             let age_ms = now.saturating_sub(batch.first_seen) as f64;
             due_ms.is_some_and(|due_ms| age_ms > due_ms as f64 * BEHIND_SHARE)
         })
     }
 
+    /// The ready back ends, slots and running items of a pool.
     fn load(
         &self,
         table: &RouteTable,
@@ -137,7 +140,8 @@
         load
     }
 
-    async fn give(&mut self, order: SizeOrder) {
+    /// Appends a size order to the log, then sends it to the platform.
+    async fn send_order(&mut self, order: SizeOrder) {
         let Some(authority) = self.authority() else {
             return;
         };
@@ -151,7 +155,7 @@
                 reason = error.to_string().as_str(); "");
             return;
         }
-        // Writing it down took time, in which the lease may have gone.
+        // The lease may have been lost during the append.
         let Some(authority) = self.authority().filter(|now| now.fence == authority.fence) else {
             return;
         };
@@ -162,10 +166,11 @@
             size = order.size, fence = authority.fence, outcome = outcome; "");
         if answer.is_ok() {
             let key = (order.pool, order.zone);
-            self.answered.insert(key, (authority.fence, order.size));
+            self.acknowledged.insert(key, (authority.fence, order.size));
         }
     }
 
+    /// The authority for a size order now; `None` if none may be sent.
     fn authority(&self) -> Option<DutyAuthority> {
         let grant = self.context.lease_grant()?;
         grant.authority(&self.context, ORDER_TIMEOUT)
