--- a/crates/gateway/src/peers/answers.rs
+++ b/crates/gateway/src/peers/answers.rs
@@ -1,4 +1,5 @@
-//! What this node answers other nodes about batches that it runs: what it would answer its own callers, or nothing.
+//! Answers to questions of other nodes about batches that this node runs. An answer is the one
+//! that a caller of this node would get. If there is none, the question is declined.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,10 +14,10 @@
 use crate::context::Context;
 use crate::{batch_ends, batch_reads, questions};
 
-/// Time for the log to give a batch that was handed to this node a moment ago.
-const LOAD_PATIENCE: Duration = Duration::from_millis(500);
+/// Time for reading a batch from the log that this node owns but has not read yet.
+const LOAD_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Answers a question.
+/// Answers a question, or declines it with a reason.
 pub(super) async fn answer(context: &Arc<Context>, request: &PeerRequest) -> PeerAnswer {
     let answer = try_to_answer(context, request).await;
     answer.unwrap_or_else(PeerAnswer::Declined)
@@ -30,11 +31,11 @@
     if request.to != context.node {
         return Err(PeerRefusal::OtherLife);
     }
-    // It could not confirm anything, and the asking node may reach the log.
+    // Without the log, this node cannot confirm an answer, and the asking node may still reach the log.
     if !questions::is_in_touch(context) {
         return Err(PeerRefusal::NotConfirmed);
     }
-    know(context, batch).await?;
+    ensure_known(context, batch).await?;
     check_region(context, batch, &request.zone)?;
     let caller = Caller::admitted_by_peer(request.tenants.clone());
     match &request.question {
@@ -49,15 +50,15 @@
     }
 }
 
-/// Makes sure that a batch which this node runs, or was given, is known here.
-async fn know(context: &Arc<Context>, batch: &BatchId) -> Result<(), PeerRefusal> {
+/// Ensures that this node has read a batch that it owns.
+async fn ensure_known(context: &Arc<Context>, batch: &BatchId) -> Result<(), PeerRefusal> {
     if context.holds(batch) {
         return Ok(());
     }
-    if !is_named_owner(context, batch) {
+    if !is_recorded_owner(context, batch) {
         return Err(PeerRefusal::NotHere);
     }
-    let until = Instant::now() + LOAD_PATIENCE;
+    let until = Instant::now() + LOAD_TIMEOUT;
     let asked = questions::ask(context, batch, Duration::ZERO, until).await;
     asked.map_err(|_| PeerRefusal::NotConfirmed)?;
     match context.holds(batch) {
@@ -66,13 +67,14 @@
     }
 }
 
-fn is_named_owner(context: &Context, batch: &BatchId) -> bool {
+/// Whether the log names this node as the owner of a batch.
+fn is_recorded_owner(context: &Context, batch: &BatchId) -> bool {
     let control = context.control.lock();
     let indexed = control.state.index().batch(batch);
     indexed.is_some_and(|indexed| indexed.owner.is_held_by(&context.node))
 }
 
-/// What a batch holds leaves this node only for regions in which it may be kept.
+/// Refuses answers to zones in regions where the residency rules do not allow the data of the batch.
 fn check_region(context: &Context, batch: &BatchId, zone: &ZoneName) -> Result<(), PeerRefusal> {
     let residency = {
         let inner = context.partition_of(batch).lock();
--- a/crates/gateway/src/peers/client.rs
+++ b/crates/gateway/src/peers/client.rs
@@ -1,4 +1,4 @@
-//! Connections to nodes that run batches, and how these have answered lately.
+//! Connections to nodes that run batches, with a backoff for each node.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,21 +17,21 @@
 use http_body_util::Full;
 use thiserror::Error;
 
-use super::server::PATH;
+use super::server::QUESTION_PATH;
 
-/// Time for the head of an answer, which is sent as soon as the question was read: a live node on a small machine
-/// takes some milliseconds.
-const HEAD_PATIENCE: Duration = Duration::from_millis(300);
-/// Longest time for a connection to come up.
+/// Timeout for the head of an answer. A node sends the head as soon as it has read the question, which takes some
+/// milliseconds on a small machine.
+const HEAD_TIMEOUT: Duration = Duration::from_millis(300);
+/// Timeout of opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Longest time that a connection rests, less than the other side keeps it.
-const KEEP_IDLE: Duration = Duration::from_secs(20);
-/// Most resting connections to a node.
-const MOST_IDLE: usize = 2;
-/// Most nodes to which connections are kept.
-const MOST_PEERS: usize = 32;
-/// Bytes of an answer beside those of a page or body of the greatest length.
-const ANSWER_ALLOWANCE: usize = 1_024;
+/// Time for which an idle connection is kept; shorter than the idle timeout of the server.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Idle connections to one node, at most.
+const MAX_IDLE: usize = 2;
+/// Nodes to which connections are kept, at most.
+const MAX_PEERS: usize = 32;
+/// Bytes of an encoded answer beyond those of its page or item body.
+const ENVELOPE_BYTES: usize = 1_024;
 
 /// Why a node gave no answer.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
@@ -39,10 +39,10 @@
     /// The exchange failed.
     #[error(transparent)]
     Link(#[from] LinkError),
-    /// It answered with another status than 200.
+    /// The node answered with a status other than 200.
     #[error("status {0}")]
     Status(StatusCode),
-    /// Its answer cannot be read.
+    /// The answer cannot be decoded.
     #[error(transparent)]
     Unreadable(#[from] UnreadableValue),
 }
@@ -54,41 +54,44 @@
     }
 }
 
-/// Connections to other nodes.
+/// Connections to other nodes and their backoff.
 #[derive(Default)]
 pub(super) struct PeerLinks(Mutex<BTreeMap<NodeId, KnownPeer>>);
 
 struct KnownPeer {
     link: Link,
-    record: PeerBackoff,
-    used: Millis,
+    backoff: PeerBackoff,
+    /// When the node was last asked.
+    last_asked: Millis,
 }
 
 impl PeerLinks {
-    /// Whether a node is left alone.
+    /// Whether a node is not to be asked, as its backoff lasts.
     pub(super) fn is_paused(&self, node: &NodeId, now: Millis) -> bool {
         let peers = self.lock();
         peers
             .get(node)
-            .is_some_and(|peer| peer.record.is_paused(now))
+            .is_some_and(|peer| peer.backoff.is_paused(now))
     }
 
-    /// Notes how a node answered. One whose connections made place for others meanwhile begins anew.
-    pub(super) fn note(&self, node: &NodeId, change: impl FnOnce(&mut PeerBackoff)) {
+    /// Updates the backoff of a node. Has no effect if the connections of the node were evicted since; it then starts
+    /// without a backoff.
+    pub(super) fn update_backoff(&self, node: &NodeId, change: impl FnOnce(&mut PeerBackoff)) {
         if let Some(peer) = self.lock().get_mut(node) {
-            change(&mut peer.record);
+            change(&mut peer.backoff);
         }
     }
 
-    /// Connections to a node; the node that was asked longest ago makes place for a new one.
-    pub(super) fn to(&self, node: &NodeId, address: SocketAddr, now: Millis) -> Link {
+    /// The connections to a node. If there are connections to too many nodes, those to the node that was asked
+    /// longest ago are evicted.
+    pub(super) fn link_to(&self, node: &NodeId, address: SocketAddr, now: Millis) -> Link {
         let mut peers = self.lock();
         if let Some(known) = peers.get_mut(node) {
-            known.used = now;
+            known.last_asked = now;
             return known.link.clone();
         }
-        if peers.len() >= MOST_PEERS {
-            let oldest = peers.iter().min_by_key(|(_, peer)| peer.used);
+        if peers.len() >= MAX_PEERS {
+            let oldest = peers.iter().min_by_key(|(_, peer)| peer.last_asked);
             let oldest = oldest.map(|(node, _)| node.clone());
             oldest.and_then(|oldest| peers.remove(&oldest));
         }
@@ -96,14 +99,14 @@
             address,
             LinkSettings {
                 connect_timeout: CONNECT_TIMEOUT,
-                keep_idle: KEEP_IDLE,
-                most_idle: MOST_IDLE,
+                keep_idle: IDLE_TIMEOUT,
+                most_idle: MAX_IDLE,
             },
         );
         let peer = KnownPeer {
             link: link.clone(),
-            record: PeerBackoff::default(),
-            used: now,
+            backoff: PeerBackoff::default(),
+            last_asked: now,
         };
         peers.insert(node.clone(), peer);
         link
@@ -114,17 +117,21 @@
     }
 }
 
-/// Asks a node; its whole answer of at most `most_bytes` of body must be there by `until`.
+/// Asks a node. The whole answer, with a page or item body of at most `max_bytes`, must arrive by `until`.
+///
+/// # Errors
+///
+/// If the exchange fails or times out, if the status is not 200, or if the answer cannot be decoded.
 pub(super) async fn ask(
     link: &Link,
     request: &PeerRequest,
-    most_bytes: usize,
+    max_bytes: usize,
     until: Instant,
 ) -> Result<PeerAnswer, PeerError> {
     let left = until.saturating_duration_since(Instant::now());
-    let sending = Sending::within(HEAD_PATIENCE.min(left));
+    let sending = Sending::within(HEAD_TIMEOUT.min(left));
     let answer = link.send_as(http_request(link, request), sending).await?;
-    let whole = answer.whole(most_bytes + ANSWER_ALLOWANCE);
+    let whole = answer.whole(max_bytes + ENVELOPE_BYTES);
     let whole = havenstage_clock::timeout_at(until, whole).await;
     let whole = whole.map_err(|_| LinkError::TimedOut)??;
     if whole.status != StatusCode::OK {
@@ -136,7 +143,7 @@
 fn http_request(link: &Link, request: &PeerRequest) -> Request<Full<Bytes>> {
     let mut http = Request::new(Full::new(Bytes::from(request.encode())));
     *http.method_mut() = Method::POST;
-    *http.uri_mut() = http::Uri::from_static(PATH);
+    *http.uri_mut() = http::Uri::from_static(QUESTION_PATH);
     let host = link.address().to_string();
     if let Ok(host) = http::HeaderValue::from_str(&host) {
         http.headers_mut().insert(http::header::HOST, host);
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -1,8 +1,9 @@
-//! Questions about batches between nodes: a caller's question that reaches a node which does not run the batch is
-//! passed to the one that does, which has the batch in memory.
+//! Questions about batches between nodes. A node that receives a caller's question about a batch that it does not run
+//! passes the question to the batch owner, which has the batch in memory.
 //!
-//! The asking node falls back to the log whenever no answer comes, and takes "there is none" from nobody else. The
-//! answering node confirms what it knows as for its own callers, so nothing depends on who holds a batch's lease.
+//! The asking node falls back to the log whenever no answer comes, and only the log can tell it that something does not
+//! exist. The answering node confirms its knowledge with the log as it does for its own callers, so the correctness of
+//! an answer does not depend on who holds the lease of the batch.
 
 mod answers;
 mod client;
@@ -19,21 +20,25 @@
 
 use client::PeerLinks;
 
-/// Questions that are answered at a time, those that wait for a result among them.
-const MOST_QUESTIONS: usize = 64;
-/// Questions that this node asks at a time for its callers; others go to the log. Each may bring a page of 1 MB.
-const MOST_ASKED: usize = 32;
-/// Kilobytes of answers that are on their way at a time, two of the longest pages: 0.4 s of a link of 45 Mbit/s.
-const MOST_ANSWER_KB: usize = 2_048;
+/// Questions that this node answers at a time, including those that wait for a result.
+const MAX_INCOMING_QUESTIONS: usize = 64;
+/// Questions that this node asks at a time for its callers; further ones are answered from the log. Each answer may
+/// be a page of 1 MB.
+const MAX_OUTGOING_QUESTIONS: usize = 32;
+/// Kilobytes of answers in flight at a time: two of the longest pages, which take 0.4 s on a link of 45 Mbit/s.
+const MAX_ANSWER_KB: usize = 2_048;
 
-/// Other nodes that run batches, and what this one answers them.
+/// Connections to other nodes that run batches, and the limits on questions asked and answered.
 pub struct Peers {
+    /// Where this node answers others; unset if it does not.
     own_address: OnceLock<SocketAddr>,
     links: PeerLinks,
-    asked: Semaphore,
-    questions: Arc<Semaphore>,
-    /// Kilobytes of answers that may still be sent.
-    answer_kb: Arc<Semaphore>,
+    /// Permits for questions to other nodes.
+    outgoing: Semaphore,
+    /// Permits for questions from other nodes.
+    incoming: Arc<Semaphore>,
+    /// Permits for answers to other nodes, one for each kilobyte.
+    answer_kb_permits: Arc<Semaphore>,
 }
 
 impl Default for Peers {
@@ -41,22 +46,22 @@
         Self {
             own_address: OnceLock::new(),
             links: PeerLinks::default(),
-            asked: Semaphore::new(MOST_ASKED),
-            questions: Arc::new(Semaphore::new(MOST_QUESTIONS)),
-            answer_kb: Arc::new(Semaphore::new(MOST_ANSWER_KB)),
+            outgoing: Semaphore::new(MAX_OUTGOING_QUESTIONS),
+            incoming: Arc::new(Semaphore::new(MAX_INCOMING_QUESTIONS)),
+            answer_kb_permits: Arc::new(Semaphore::new(MAX_ANSWER_KB)),
         }
     }
 }
 
 impl Peers {
-    /// Where this node answers others; `None` if it does not.
+    /// The address at which this node answers other nodes; `None` if it does not.
     pub fn own_address(&self) -> Option<SocketAddr> {
         self.own_address.get().copied()
     }
 
-    /// This node answers others at an address.
+    /// Sets the address at which this node answers other nodes, as they can reach it.
     pub fn set_own_address(&self, address: SocketAddr) {
-        // Set once: a node starts once.
+        // A node starts once, so the address is never set before.
         let _ = self.own_address.set(address);
     }
 }
--- a/crates/gateway/src/peers/questions.rs
+++ b/crates/gateway/src/peers/questions.rs
@@ -1,4 +1,4 @@
-//! Callers' questions that are passed to the node that runs the batch.
+//! Passes callers' questions to the node that runs the batch.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,33 +17,34 @@
 use crate::context::Context;
 use crate::metrics;
 
-/// Time beyond the caller's wait in which an owner's answer must be whole. What is left of the time after which
-/// callers leave is for the log.
-const ANSWER_PATIENCE: Duration = Duration::from_millis(500);
-/// Time after a call to end a batch came in by which an owner's answer must be there; callers leave 1.5 s after it.
-const END_PATIENCE: Duration = Duration::from_millis(1_300);
-/// Least time for an owner to append an end: with less it is not asked.
-const LEAST_END_TIME: Duration = Duration::from_millis(200);
+/// Time beyond the caller's wait in which the whole answer of the owner must arrive. The rest of the time until callers
+/// leave is reserved for reading the log.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
+/// Time from the arrival of a call to end a batch to the owner's answer. Callers leave 1.5 s after their call.
+const END_TIMEOUT: Duration = Duration::from_millis(1_300);
+/// Least time for an owner to append an end; with less time left, the owner is not asked.
+const MIN_END_TIME: Duration = Duration::from_millis(200);
 
-/// The node that runs a batch, as far as is known here.
+/// The node that runs a batch, as far as this node knows.
 struct Owner {
     node: NodeId,
     address: SocketAddr,
+    /// Time since this node read its last heartbeat.
     silent_ms: Millis,
 }
 
-/// What came of an end that was passed to the node that runs the batch.
+/// Outcome of a call to end a batch that was passed to the batch owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum OwnerEndOutcome {
-    /// It stands in the log.
+    /// The end is in the log.
     Done,
-    /// It may come to stand there.
+    /// The end may be in the log or reach it later.
     MayBeDone,
-    /// It was not appended.
+    /// The end was not appended.
     NotDone,
 }
 
-/// The owner's answer to a call for results made at `asked`; `None` if the call is to be answered here.
+/// The owner's answer to a call for results made at `asked`; `None` if this node is to answer the call.
 pub(crate) async fn results(
     context: &Context,
     caller: &Caller,
@@ -57,11 +58,11 @@
         from: from as u64,
         wait_ms: wait.as_millis() as u64,
     };
-    let until = asked + wait + ANSWER_PATIENCE;
+    let until = asked + wait + ANSWER_TIMEOUT;
     answer_of(ask(context, &owner, caller, batch, question, until).await)
 }
 
-/// The owner's answer to a call for the body of an item; `None` if the call is to be answered here.
+/// The owner's answer to a call for the body of an item made at `asked`; `None` if this node is to answer the call.
 pub(crate) async fn item_body(
     context: &Context,
     caller: &Caller,
@@ -71,19 +72,19 @@
 ) -> Option<BatchAnswer> {
     let owner = owner_to_ask(context, batch)?;
     let question = PeerQuestion::ItemBody { item: item.clone() };
-    let until = asked + ANSWER_PATIENCE;
+    let until = asked + ANSWER_TIMEOUT;
     answer_of(ask(context, &owner, caller, batch, question, until).await)
 }
 
-/// Has the owner end a batch, for a call that came in at `began`.
+/// Asks the owner to end a batch, for a call that arrived at `began`.
 pub(crate) async fn end(
     context: &Context,
     caller: &Caller,
     batch: &BatchId,
     began: Instant,
 ) -> OwnerEndOutcome {
-    let until = began + END_PATIENCE;
-    let is_in_time = Instant::now() + LEAST_END_TIME <= until;
+    let until = began + END_TIMEOUT;
+    let is_in_time = Instant::now() + MIN_END_TIME <= until;
     let owner = owner_of(context, batch).filter(|owner| is_in_time && !is_paused(context, owner));
     let Some(owner) = owner else {
         return OwnerEndOutcome::NotDone;
@@ -97,6 +98,7 @@
     }
 }
 
+/// The answer for the caller; `None` if the owner did not answer or declined.
 fn answer_of(asked: Option<Result<PeerAnswer, PeerError>>) -> Option<BatchAnswer> {
     match asked?.ok()? {
         PeerAnswer::Answered {
@@ -111,7 +113,7 @@
     }
 }
 
-/// The owner of a batch, if it is to be asked rather than the log.
+/// The owner of a batch, if the owner is to be asked rather than the log.
 fn owner_to_ask(context: &Context, batch: &BatchId) -> Option<Owner> {
     let now = context.now();
     let view = context.partition_of(batch);
@@ -133,7 +135,7 @@
     context.peers.links.is_paused(&owner.node, context.now())
 }
 
-/// Another node that runs a batch and told its address.
+/// The owner of a batch, if it is another node whose address is known.
 fn owner_of(context: &Context, batch: &BatchId) -> Option<Owner> {
     let now = context.now();
     let control = context.control.lock();
@@ -147,7 +149,7 @@
     })
 }
 
-/// Asks an owner; `None` for a caller of whom nothing is known yet, and where enough questions are being asked.
+/// Asks an owner. `None` if the caller is not verified yet or too many questions are in flight.
 async fn ask(
     context: &Context,
     owner: &Owner,
@@ -160,7 +162,7 @@
         return None;
     }
     let name = name_of(&question);
-    let Ok(_place) = context.peers.asked.try_acquire() else {
+    let Ok(_permit) = context.peers.outgoing.try_acquire() else {
         metrics::owner_asked(name, "too_many", 0);
         return None;
     };
@@ -173,14 +175,14 @@
         question,
     };
     let links = &context.peers.links;
-    let link = links.to(&owner.node, owner.address, context.now());
-    let most_bytes = context.settings.log.call_bytes;
-    let asked = client::ask(&link, &request, most_bytes, until).await;
+    let link = links.link_to(&owner.node, owner.address, context.now());
+    let max_bytes = context.settings.log.call_bytes;
+    let asked = client::ask(&link, &request, max_bytes, until).await;
     let now = context.now();
-    links.note(&owner.node, |record| match &asked {
-        Ok(PeerAnswer::Declined(_)) => record.record_refusal(now),
-        Ok(_) => record.record_answer(),
-        Err(_) => record.record_failure(now),
+    links.update_backoff(&owner.node, |backoff| match &asked {
+        Ok(PeerAnswer::Declined(_)) => backoff.record_refusal(now),
+        Ok(_) => backoff.record_answer(),
+        Err(_) => backoff.record_failure(now),
     });
     let outcome = outcome_of(&asked);
     let took_ms = began.elapsed().as_millis() as u64;
--- a/crates/gateway/src/peers/server.rs
+++ b/crates/gateway/src/peers/server.rs
@@ -1,7 +1,7 @@
-//! The server for other nodes' questions: bounded connections, questions and bytes.
+//! The server for questions of other nodes, with limits on connections, questions and bytes.
 //!
-//! The head of an answer is sent as soon as the question was read, so that the asking node knows that its question
-//! has arrived, and the body once there is something to tell.
+//! The head of an answer is sent as soon as the question has been read, so that the asking node knows that its question
+//! has arrived. The body follows when the answer is known.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -29,38 +29,38 @@
 use crate::responses::{Body, plain, whole_body};
 use crate::server::{accept, read_body};
 
-/// Path of questions.
-pub(super) const PATH: &str = "/batch-question";
+/// Request path of questions.
+pub(super) const QUESTION_PATH: &str = "/batch-question";
 
-/// Most connections at a time.
-const MOST_CONNECTIONS: usize = 256;
-/// Longest time that a connection may rest.
+/// Connections at a time, at most.
+const MAX_CONNECTIONS: usize = 256;
+/// Time for which a connection may be idle.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(25);
-/// Time after which a connection is ended that takes or acknowledges nothing.
+/// Time after which a connection is closed whose peer accepts or acknowledges no bytes.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(3);
-/// Most bytes of a question: names and a position.
-const MOST_QUESTION_BYTES: usize = 16 * 1024;
-/// Buffer of a connection.
+/// Longest question; it holds only names and a position.
+const MAX_QUESTION_BYTES: usize = 16 * 1024;
+/// Size of the read and write buffers of a connection.
 const BUFFER_BYTES: usize = 32 * 1024;
-/// Bytes given to a connection at a time.
+/// Bytes of an answer that are passed to a connection at a time.
 const PIECE_BYTES: usize = 16 * 1024;
-/// Unit in which the bytes of answers are counted.
+/// Bytes for each permit for answers.
 const BYTES_PER_KB: usize = 1_024;
 
-/// Answers other nodes.
+/// Accepts connections of other nodes and answers their questions, until the process ends.
 pub async fn serve(context: Arc<Context>, listener: TcpListener) {
-    let connections = Arc::new(Semaphore::new(MOST_CONNECTIONS));
+    let connections = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
         let Some(stream) = accept(&listener).await else {
             continue;
         };
-        let Ok(place) = connections.clone().try_acquire_owned() else {
+        let Ok(permit) = connections.clone().try_acquire_owned() else {
             metrics::peer_answered("no_connection", 0);
             continue;
         };
         let context = context.clone();
         tokio::spawn(async move {
-            let _place = place;
+            let _permit = permit;
             serve_connection(context, stream).await;
         });
     }
@@ -79,23 +79,23 @@
         .max_buf_size(BUFFER_BYTES)
         .serve_connection(TokioIo::new(stream), service);
     tokio::select! {
-        // Nothing is done for a node that has left.
+        // Work for a node that has disconnected is dropped.
         biased;
         () = watch.closed() => {}
-        // A node that breaks off needs no word.
+        // A broken connection needs no log line.
         _ = connection => {}
     }
 }
 
 async fn handle(context: Arc<Context>, request: Request<Incoming>) -> Response<Body> {
     let (head, body) = request.into_parts();
-    if head.method != Method::POST || head.uri.path() != PATH {
+    if head.method != Method::POST || head.uri.path() != QUESTION_PATH {
         return plain(StatusCode::NOT_FOUND);
     }
-    let Ok(place) = context.peers.questions.clone().try_acquire_owned() else {
+    let Ok(permit) = context.peers.incoming.clone().try_acquire_owned() else {
         return declined(PeerRefusal::Overloaded);
     };
-    let body = match read_body(body, MOST_QUESTION_BYTES).await {
+    let body = match read_body(body, MAX_QUESTION_BYTES).await {
         Ok(body) => body,
         Err(status) => return plain(status),
     };
@@ -106,7 +106,7 @@
             return declined(PeerRefusal::Unreadable);
         }
     };
-    let pieces = prepare(context, request, place).into_stream().flatten();
+    let pieces = prepare(context, request, permit).into_stream().flatten();
     Response::new(StreamBody::new(pieces.map(|piece| Ok(Frame::data(piece)))).boxed_unsync())
 }
 
@@ -116,50 +116,53 @@
     Response::new(whole_body(Bytes::from(answer.encode())))
 }
 
-/// What an answer holds until it is taken.
-struct Sent {
+/// The unsent rest of an answer, with the permits that it holds until it is sent.
+struct UnsentAnswer {
     rest: Bytes,
-    _question: OwnedSemaphorePermit,
-    _body: Option<OwnedSemaphorePermit>,
+    _question_permit: OwnedSemaphorePermit,
+    _bytes_permit: Option<OwnedSemaphorePermit>,
 }
 
-/// The pieces of the answer to a question.
+/// Answers a question, and returns the encoded answer in pieces.
 async fn prepare(
     context: Arc<Context>,
     request: PeerRequest,
     question: OwnedSemaphorePermit,
 ) -> impl futures::Stream<Item = Bytes> {
     let answer = answers::answer(&context, &request).await;
-    let (answer, body) = with_place(&context, answer);
+    let (answer, body) = reserve_bytes(&context, answer);
     let outcome = outcome_of(&answer);
     let encoded = Bytes::from(answer.encode());
     metrics::peer_answered(outcome, encoded.len());
     info!(event = "peer_answered", batch = request.batch.as_str(), zone = request.zone.as_str(),
         outcome = outcome, bytes = encoded.len(); "");
-    let sent = Sent {
+    let unsent = UnsentAnswer {
         rest: encoded,
-        _question: question,
-        _body: body,
+        _question_permit: question,
+        _bytes_permit: body,
     };
-    stream::unfold(sent, |mut sent| async move {
-        if sent.rest.is_empty() {
+    stream::unfold(unsent, |mut unsent| async move {
+        if unsent.rest.is_empty() {
             return None;
         }
-        let length = sent.rest.len().min(PIECE_BYTES);
-        Some((sent.rest.split_to(length), sent))
+        let length = unsent.rest.len().min(PIECE_BYTES);
+        Some((unsent.rest.split_to(length), unsent))
     })
 }
 
-/// Takes place for the bytes of an answer; it is declined if there is none.
-fn with_place(context: &Context, answer: PeerAnswer) -> (PeerAnswer, Option<OwnedSemaphorePermit>) {
+/// Reserves the bytes of an answer, or declines the question if too many bytes are in flight.
+fn reserve_bytes(
+    context: &Context,
+    answer: PeerAnswer,
+) -> (PeerAnswer, Option<OwnedSemaphorePermit>) {
     let bytes = match &answer {
         PeerAnswer::Answered { body, .. } => body.len(),
         PeerAnswer::MayBeDone | PeerAnswer::Declined(_) => 0,
     };
     let kilobytes = u32::try_from(bytes / BYTES_PER_KB).unwrap_or(u32::MAX);
-    let places = context.peers.answer_kb.clone();
-    match places.try_acquire_many_owned(kilobytes) {
-        Ok(place) => (answer, Some(place)),
+    let permits = context.peers.answer_kb_permits.clone();
+    match permits.try_acquire_many_owned(kilobytes) {
+        Ok(permit) => (answer, Some(permit)),
         Err(_) => (PeerAnswer::Declined(PeerRefusal::Overloaded), None),
     }
 }
