--- a/crates/gateway/tests/metering.rs
+++ b/crates/gateway/tests/metering.rs
@@ -1,4 +1,4 @@
-//! Usage is reported once for each window, whole, whoever reports it.
+//! The usage of each window is reported completely and with the same counts, whichever node reports it.
 
 mod support;
 
@@ -24,8 +24,8 @@
 use support::log::NodeLog;
 use support::operations::StandInOperations;
 
-/// Windows are short, so that a test sees several; they are decided 3.6 s after their end, as a call and the record of it
-/// take a second and more on a machine that is busy with other tests.
+/// Settings with short windows, so that a test sees several. Windows are decided 3.6 s after their end, as a call and
+/// its usage record can take more than a second on a machine that runs other tests.
 fn metered_settings(name: &str) -> Settings {
     let mut settings = settings(name);
     settings.operations = Some(OperationsSettings {
@@ -70,7 +70,7 @@
         let node =
             TestNode::start_beside(log, metered_settings(name), Some(self.platform.clone())).await;
         node.knows(3).await;
-        // Before its tenants are known, calls are nobody's.
+        // Until the node knows the tenants, calls belong to none of them.
         wait_until("tenants are known", || {
             let table = node.context().routes();
             table.is_some_and(|table| table.version() == 2)
@@ -102,7 +102,7 @@
 }
 
 #[tokio::test]
-async fn what_all_nodes_served_is_reported_once() {
+async fn requests_of_all_nodes_are_reported_once() {
     let metered = Metered::start().await;
     let (first, second) = (metered.node("a").await, metered.node("b").await);
     for _ in 0..7 {
@@ -113,11 +113,11 @@
     assert_eq!(call(&first, "nobody's").await, 401);
     metered.wait_for("water", 14).await;
     metered.wait_for("power", 7).await;
-    let seen = metered.platform.seen();
+    let seen = metered.platform.reports();
     let windows: Vec<u64> = seen.iter().map(|report| report.window).collect();
     let first_window = windows[0];
     let expected: Vec<u64> = (first_window..).take(windows.len()).collect();
-    assert_eq!(windows, expected, "each window once, in turn");
+    assert_eq!(windows, expected, "each window once, in order");
 }
 
 /// A request counts once, however often it was sent, and only if a back end began it.
@@ -126,12 +126,12 @@
     let metered = Metered::start().await;
     let node = metered.node("a").await;
     let applications = &metered.deployment.applications;
-    applications[0].behave(|told| told.call = CallBehaviour::Fail);
+    applications[0].behave(|behaviour| behaviour.call = CallBehaviour::Fail);
     for _ in 0..6 {
         assert_eq!(call(&node, "k1").await, 200);
     }
     for application in applications {
-        application.behave(|told| told.call = CallBehaviour::NotRun);
+        application.behave(|behaviour| behaviour.call = CallBehaviour::NotRun);
     }
     assert_eq!(call(&node, "k2").await, 503);
     metered.wait_for("water", 6).await;
@@ -139,7 +139,7 @@
 }
 
 #[tokio::test]
-async fn items_and_reward_calls_are_no_usage() {
+async fn items_and_reward_calls_are_not_counted_as_usage() {
     let metered = Metered::start().await;
     let node = metered.node("a").await;
     let headers = [("x-id", "batch"), ("x-key", "k1")];
@@ -156,25 +156,26 @@
     assert_eq!(metered.platform.reported("water"), 0);
 }
 
-/// The holder dies after its calls may have arrived; the next one tells the same of each window.
+/// Guards against different reports of one window. The holder dies after reports that the platform may have received;
+/// the next holder must report the same counts for each window.
 #[tokio::test]
-async fn the_next_holder_reports_what_was_decided() {
+async fn the_next_holder_reports_the_decided_counts() {
     let metered = Metered::start().await;
     let (mut first, mut second) = (metered.node("a").await, metered.node("b").await);
     for _ in 0..5 {
         assert_eq!(call(&first, "k1").await, 200);
         assert_eq!(call(&second, "k1").await, 200);
     }
-    // Taken by the platform, but the holder does not learn of it and tells it again.
+    // The platform takes the reports, but the holder gets no answer and repeats them.
     metered.platform.fail(Some(DutyError::Unanswered));
-    wait_until("reports are told", || {
+    wait_until("usage is reported", || {
         metered.platform.reported("water") > 0
     })
     .await;
     let is_first = holder(&first) == Some(MachineName::from("a"));
     let other = if is_first { &second } else { &first };
     assert_eq!(call(other, "k1").await, 200);
-    wait_until("all is written", || {
+    wait_until("all counts are in the log", || {
         [&first, &second].iter().all(|node| {
             let context = node.context();
             context.usage.is_written(&context.node)
@@ -188,7 +189,7 @@
     };
     metered.platform.fail(None);
     metered.wait_for("water", 11).await;
-    let seen = metered.platform.seen();
+    let seen = metered.platform.reports();
     let fences: Vec<u64> = seen.iter().map(|report| report.fence).collect();
     assert!(fences.is_sorted(), "{fences:?}");
     let holders: std::collections::BTreeSet<(u64, String)> = seen
@@ -198,7 +199,7 @@
     assert_eq!(holders.len(), 2, "a token for each holder: {holders:?}");
 }
 
-/// A node that stops in order leaves nothing uncounted.
+/// A graceful stop loses no counts.
 #[tokio::test]
 async fn a_node_that_stops_writes_its_counts_first() {
     let metered = Metered::start().await;
@@ -216,7 +217,7 @@
 }
 
 #[tokio::test]
-async fn a_platform_that_is_away_hears_it_later() {
+async fn usage_is_reported_after_a_platform_outage() {
     let metered = Metered::start().await;
     let node = metered.node("a").await;
     metered.platform.fail(Some(DutyError::Refused(503)));
@@ -229,11 +230,11 @@
     metered.wait_for("water", 3).await;
 }
 
-/// Calls came before any node had claimed the lease: reports began with the window in which the first holder
-/// started, and what had come before it was never told. The same befell calls of the window before it whose counts were
-/// not written yet, if a window happened to end just then.
+/// Guards against the loss of requests that precede the first lease holder. If reports begin with the window in which
+/// the first holder starts, earlier windows are never reported. Nor is the window just before it, if the window ended
+/// just then and its counts were not in the log yet.
 #[tokio::test]
-async fn what_came_before_the_first_holder_is_reported() {
+async fn requests_before_the_first_holder_are_reported() {
     let metered = Metered::start().await;
     let log = NodeLog::new(&metered.deployment.log);
     let earlier = TimeOfDay::start().now() - 1_000;
@@ -255,7 +256,7 @@
     metered.wait_for("water", 3).await;
 }
 
-/// Each call is made right before a window ends, and the first holder starts right behind its end.
+/// Each call is made shortly before a window ends, and the first holder starts shortly after the end.
 #[tokio::test]
 async fn calls_just_before_the_first_holder_starts_are_reported() {
     for _ in 0..4 {
--- a/crates/gateway/tests/orders.rs
+++ b/crates/gateway/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to load versions: one holder at a time, whatever the log does to it.
+//! Orders to load versions: only one lease holder sends them at a time, also when the log fails or is slow.
 
 mod support;
 
@@ -86,10 +86,11 @@
     }
 }
 
-/// A holder is cut off and another takes over. As the cut heals, the former holder's appends work
-/// before its reads do: the log takes its sign of life, which must not count for a lease.
+/// Guards against orders of a former lease holder. It is cut off from the log and another node takes over. When the
+/// connection returns, its appends succeed before its reads do. The log accepts its heartbeat, which must not renew its
+/// lease.
 #[tokio::test]
-async fn a_former_holder_gives_no_order_before_it_has_read_the_log() {
+async fn a_former_holder_sends_no_order_before_it_has_read_the_log() {
     let deployment = Deployment::start(2, 1).await;
     let (first, second) = (deployment.node("a").await, deployment.node("b").await);
     wait_until("a node holds the lease", || holder(&first).is_some()).await;
@@ -113,7 +114,7 @@
         .iter()
         .map(|engine| engine.orders().len())
         .sum();
-    // The former holder knows of version 3, and its next sign of life is answered.
+    // The former holder learns of version 3, and its next heartbeat is appended.
     next.set_faults(LogFaults {
         is_cut: true,
         ..LogFaults::default()
@@ -137,15 +138,13 @@
         .iter()
         .map(|engine| engine.orders().len())
         .sum();
-    assert_eq!(
-        before, after,
-        "an order was given under a term that had passed"
-    );
+    assert_eq!(before, after, "an order was sent under a past term");
 }
 
-/// An order stands in the log up to 0.8 s before it reaches its engine: its append has to be answered and
-/// its connection opened. A successor counted the time that must lie between two machines' orders from the
-/// record, so that with a late first order too little lay between the two where the engine sees them.
+/// Guards against orders of two machines that reach an engine too close together. An order can be in the log up to
+/// 0.8 s before it reaches its engine, as its append must be answered and a connection opened. A new holder that
+/// counts the least time between the orders of two machines from the log record sends its order too early if the
+/// former order was late.
 #[tokio::test]
 async fn a_new_holder_allows_for_an_order_that_reached_its_engine_late() {
     let deployment = Deployment::start(1, 1).await;
@@ -167,14 +166,15 @@
     stopping.await.unwrap();
     let times = deployment.engines[0].order_times();
     let between = times[1] - times[0];
-    // 0.5 s must lie between them. Of the 0.8 s besides, 0.3 s are left for a busy machine.
+    // The orders must be 0.5 s apart, and the new holder waits 0.8 s longer. The test allows 0.3 s of that for a busy
+    // machine.
     assert!(between >= Duration::from_millis(1_000), "{between:?}");
 }
 
-/// The answer to the append of an order came late, and the order was given all the same, as the lease still
-/// held: a successor that reads the record allows for 0.8 s between the two.
+/// Guards against an order that is sent long after its log record. If the append is answered late, the order must not
+/// be sent, even under a valid lease, as a new holder allows for only 0.8 s between the record and the order.
 #[tokio::test]
-async fn an_order_that_took_long_to_write_down_is_not_given() {
+async fn an_order_whose_append_took_too_long_is_not_sent() {
     let deployment = Deployment::start(1, 1).await;
     let node = deployment.node("a").await;
     wait_until("the node holds the lease", || holder(&node).is_some()).await;
@@ -190,11 +190,11 @@
     wait_for_version(&deployment, 2).await;
 }
 
-/// A sign of life told the time since the former one was sent. Where the former one came to stand in the log
-/// late, less time had passed between the two, and an order that stood in front of both was taken for older
-/// than it was.
+/// Guards against orders that are taken for older than they are. A heartbeat must not report the time since the
+/// previous one was sent: if the previous one reached the log late, less time has passed between the two records, and
+/// an order that precedes both would count as too old.
 #[tokio::test]
-async fn a_sign_of_life_tells_no_more_time_than_passed_since_the_one_before() {
+async fn a_heartbeat_reports_no_more_time_than_passed_since_the_previous_one() {
     let deployment = Deployment::start(1, 1).await;
     let node = deployment.node("a").await;
     wait_until("the node holds the lease", || holder(&node).is_some()).await;
@@ -205,36 +205,37 @@
         });
         tokio::time::sleep(Duration::from_millis(600)).await;
     }
-    let signs = signs_of_life(&deployment.log);
-    assert!(signs.len() > 8, "{signs:?}");
-    assert!(signs.iter().skip(1).any(|(_, after_ms)| *after_ms > 0));
-    for pair in signs.windows(2) {
+    let heartbeats = lease_heartbeats(&deployment.log);
+    assert!(heartbeats.len() > 8, "{heartbeats:?}");
+    assert!(heartbeats.iter().skip(1).any(|(_, after_ms)| *after_ms > 0));
+    for pair in heartbeats.windows(2) {
         let passed = pair[1].0 - pair[0].0;
-        let told = Duration::from_millis(pair[1].1);
+        let reported = Duration::from_millis(pair[1].1);
         // Both clocks count whole milliseconds.
         assert!(
-            told <= passed + Duration::from_millis(1),
-            "{told:?} told, {passed:?} passed"
+            reported <= passed + Duration::from_millis(1),
+            "{reported:?} reported, {passed:?} passed"
         );
     }
 }
 
-/// When each sign of life came to stand in the log, and the time that it tells.
-fn signs_of_life(log: &MemoryLog) -> Vec<(Instant, u64)> {
+/// The time at which each heartbeat reached the log, and the time since the previous one that it reports, in
+/// milliseconds.
+fn lease_heartbeats(log: &MemoryLog) -> Vec<(Instant, u64)> {
     let mut joiner = Joiner::default();
-    let mut signs = Vec::new();
+    let mut heartbeats = Vec::new();
     for (record, at) in log.records(CONTROL).into_iter().zip(log.times(CONTROL)) {
         let value = joiner.push(record);
         let record = value.map(|value| ControlRecord::decode(&value).unwrap());
         if let Some(ControlRecord::LeaseKept { after_ms, .. }) = record {
-            signs.push((at, after_ms));
+            heartbeats.push((at, after_ms));
         }
     }
-    signs
+    heartbeats
 }
 
-/// What an engine has that did not take an order is what it had before. A late copy of that looks the same,
-/// so only a withdrawal says that the order is no longer under way.
+/// Guards against an order that stays pending after a refusal. The engine still has its former version, and a delayed
+/// report from before the order shows the same, so only a withdrawal shows that the order has ended.
 #[tokio::test]
 async fn an_order_that_was_refused_is_withdrawn() {
     let deployment = Deployment::start(1, 1).await;
--- a/crates/gateway/tests/peers.rs
+++ b/crates/gateway/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Questions about a batch that reach a node which does not run it are passed to the one that does.
+//! A question about a batch that reaches a node which does not run the batch is passed to the batch owner.
 
 mod support;
 
@@ -20,32 +20,32 @@
 use support::dialect::write_batch;
 use support::log::{LogFaults, NodeLog};
 use support::peers::{
-    address_of, ask, own, peer_node, peer_settings, records_read, request, results_from,
-    send_bytes, wait_until_asked,
+    address_of, ask, peer_node, peer_settings, records_read, request, results_from, send_bytes,
+    submit_to_owner, wait_until_owner_known,
 };
 
 const ITEMS: [(&str, &str); 4] = [("i1", "g1"), ("i2", "g1"), ("i3", "g2"), ("i4", "g2")];
-/// Time beyond the wait that it allows after which a caller leaves.
-const CALLERS_PATIENCE: Duration = Duration::from_millis(1_500);
+/// Time beyond the requested wait after which a caller leaves.
+const CALLER_GRACE: Duration = Duration::from_millis(1_500);
 /// Longest wait that a caller is granted.
-const LONGEST_WAIT: Duration = Duration::from_millis(1_000);
+const MAX_WAIT: Duration = Duration::from_millis(1_000);
 
 fn batch() -> String {
     write_batch(1, &ITEMS, false)
 }
 
-/// A node that runs a batch whose events come after such pauses, and another one that knows of it.
+/// A node that runs a batch, and another node that knows the owner. The engine pauses before each event.
 async fn owner_and_reader(event_pause: Duration) -> (Deployment, TestNode, TestNode) {
     let deployment = Deployment::start(1, 0).await;
-    deployment.engines[0].behave(|told| told.event_pause = event_pause);
+    deployment.engines[0].behave(|behaviour| behaviour.event_pause = event_pause);
     let owner = peer_node(&deployment, "owner").await;
-    own(&owner, "batch", &batch()).await;
+    submit_to_owner(&owner, "batch", &batch()).await;
     let reader = peer_node(&deployment, "reader").await;
-    wait_until_asked(&reader, &owner, "batch").await;
+    wait_until_owner_known(&reader, &owner, "batch").await;
     (deployment, owner, reader)
 }
 
-/// One read that waits as long as it may; its status and lines.
+/// Reads results once with the longest wait; returns the status and the number of result lines.
 async fn read_once(node: &TestNode, from: usize) -> (u16, usize) {
     let path = format!("/results/batch?from={from}");
     let answer = send(node.callers, Method::GET, &path, &[("x-wait", "1000")], "").await;
@@ -54,7 +54,8 @@
     (answer.status.as_u16(), lines)
 }
 
-const NEVER: Duration = Duration::from_secs(60);
+/// Pause before each event that is longer than any test.
+const LONG_PAUSE: Duration = Duration::from_secs(60);
 
 #[tokio::test]
 async fn a_node_that_does_not_run_a_batch_answers_about_it_without_reading_it() {
@@ -68,11 +69,11 @@
 }
 
 #[tokio::test]
-async fn nothing_new_and_bodies_of_items_come_from_the_owner_too() {
-    let (_deployment, _owner, reader) = owner_and_reader(NEVER).await;
+async fn empty_results_and_item_bodies_come_from_the_owner() {
+    let (_deployment, _owner, reader) = owner_and_reader(LONG_PAUSE).await;
     let began = Instant::now();
     assert_eq!(read_once(&reader, 0).await, (200, 0));
-    assert!(began.elapsed() >= LONGEST_WAIT);
+    assert!(began.elapsed() >= MAX_WAIT);
     let path = "/results/batch?item=i2";
     let body = send(reader.callers, Method::GET, path, &[], "").await;
     let body = body.unwrap();
@@ -83,10 +84,10 @@
     assert_eq!(records_read(&reader, "batch"), 0);
 }
 
-/// Only the log says that there is none.
+/// Only the log can tell that an item does not exist.
 #[tokio::test]
-async fn an_item_that_the_owner_does_not_know_is_looked_for_in_the_log() {
-    let (_deployment, _owner, reader) = owner_and_reader(NEVER).await;
+async fn an_item_that_the_owner_does_not_know_is_looked_up_in_the_log() {
+    let (_deployment, _owner, reader) = owner_and_reader(LONG_PAUSE).await;
     let path = "/results/batch?item=unknown";
     let body = send(reader.callers, Method::GET, path, &[], "").await;
     assert_eq!(body.unwrap().status, 404);
@@ -94,8 +95,8 @@
 }
 
 #[tokio::test]
-async fn a_read_outlives_the_owner_that_it_waits_for() {
-    let (_deployment, mut owner, reader) = owner_and_reader(NEVER).await;
+async fn a_read_is_answered_though_the_owner_it_waits_for_dies() {
+    let (_deployment, mut owner, reader) = owner_and_reader(LONG_PAUSE).await;
     let began = Instant::now();
     let read = read_once(&reader, 0);
     let kill = async {
@@ -104,25 +105,25 @@
     };
     let (read, ()) = tokio::join!(read, kill);
     assert_eq!(read, (200, 0));
-    assert!(began.elapsed() < LONGEST_WAIT + CALLERS_PATIENCE);
-    assert!(records_read(&reader, "batch") > 0, "the log was asked");
+    assert!(began.elapsed() < MAX_WAIT + CALLER_GRACE);
+    assert!(records_read(&reader, "batch") > 0, "the log was read");
 }
 
 #[tokio::test]
-async fn a_silent_owner_costs_a_short_while_and_is_then_left_alone() {
-    let (_deployment, owner, reader) = owner_and_reader(NEVER).await;
+async fn a_silent_owner_delays_reads_only_briefly() {
+    let (_deployment, owner, reader) = owner_and_reader(LONG_PAUSE).await;
     owner.hold(Duration::from_secs(4)).await;
     for _ in 0..2 {
         let began = Instant::now();
         assert_eq!(results(reader.callers, "batch", 0).await, (200, Vec::new()));
-        assert!(began.elapsed() < CALLERS_PATIENCE);
+        assert!(began.elapsed() < CALLER_GRACE);
     }
-    assert!(records_read(&reader, "batch") > 0, "the log was asked");
+    assert!(records_read(&reader, "batch") > 0, "the log was read");
 }
 
 #[tokio::test]
-async fn an_owner_that_cannot_confirm_its_knowledge_says_nothing() {
-    let (_deployment, owner, _reader) = owner_and_reader(NEVER).await;
+async fn an_owner_that_cannot_confirm_its_knowledge_declines() {
+    let (_deployment, owner, _reader) = owner_and_reader(LONG_PAUSE).await;
     owner.set_faults(LogFaults {
         reads_hang: true,
         ..LogFaults::default()
@@ -132,10 +133,10 @@
     assert_eq!(answer, PeerAnswer::Declined(PeerRefusal::NotConfirmed));
 }
 
-/// The asking node may reach the log itself meanwhile.
+/// The owner must not let the asking node wait, as that node may still reach the log.
 #[tokio::test]
 async fn an_owner_that_has_lost_the_log_declines_at_once() {
-    let (_deployment, owner, _reader) = owner_and_reader(NEVER).await;
+    let (_deployment, owner, _reader) = owner_and_reader(LONG_PAUSE).await;
     owner.set_faults(LogFaults {
         is_cut: true,
         ..LogFaults::default()
@@ -147,12 +148,12 @@
     let began = Instant::now();
     let answer = ask(&owner, &request(&owner, "batch", results_from(0, 1_000))).await;
     assert_eq!(answer, PeerAnswer::Declined(PeerRefusal::NotConfirmed));
-    assert!(began.elapsed() < LONGEST_WAIT / 2);
+    assert!(began.elapsed() < MAX_WAIT / 2);
 }
 
 #[tokio::test]
 async fn a_node_that_lost_a_batch_does_not_answer_about_it() {
-    let (deployment, owner, _reader) = owner_and_reader(NEVER).await;
+    let (deployment, owner, _reader) = owner_and_reader(LONG_PAUSE).await;
     let id = BatchId::from("batch");
     let partition = owner.context().partition_of(&id).id;
     let mut rival = owner.context().node.clone();
@@ -183,15 +184,15 @@
 }
 
 #[tokio::test]
-async fn another_life_of_the_machine_is_not_answered_for() {
-    let (_deployment, owner, reader) = owner_and_reader(NEVER).await;
+async fn a_question_for_another_node_is_declined() {
+    let (_deployment, owner, reader) = owner_and_reader(LONG_PAUSE).await;
     let meant_for_another = request(&reader, "batch", results_from(0, 0));
     let answer = ask(&owner, &meant_for_another).await;
     assert_eq!(answer, PeerAnswer::Declined(PeerRefusal::OtherLife));
 }
 
 #[tokio::test]
-async fn a_node_that_the_log_turns_away_reads_and_ends_a_batch_through_its_owner() {
+async fn a_node_that_the_log_rejects_reads_and_ends_a_batch_through_its_owner() {
     let (_deployment, owner, reader) = owner_and_reader(Duration::from_millis(100)).await;
     reader.set_faults(LogFaults {
         refuses_reads: true,
@@ -215,8 +216,8 @@
 }
 
 #[tokio::test]
-async fn an_end_that_neither_can_append_is_refused() {
-    let (_deployment, owner, reader) = owner_and_reader(NEVER).await;
+async fn an_end_that_neither_node_can_append_is_refused() {
+    let (_deployment, owner, reader) = owner_and_reader(LONG_PAUSE).await;
     for node in [&owner, &reader] {
         node.set_faults(LogFaults {
             refuses_appends: true,
@@ -237,7 +238,7 @@
 }
 
 #[tokio::test]
-async fn a_batch_is_there_for_its_own_tenant_alone() {
+async fn a_batch_is_visible_only_to_its_own_tenant() {
     let deployment = Deployment::start(1, 0).await;
     let mut config = routing(2);
     config.tenants = vec![tenant("water", "k1"), tenant("fire", "k2")];
@@ -251,7 +252,7 @@
     let id = BatchId::from("batch");
     wait_until("the node runs the batch", || owner.context().holds(&id)).await;
     let reader = peer_node(&deployment, "reader").await;
-    wait_until_asked(&reader, &owner, "batch").await;
+    wait_until_owner_known(&reader, &owner, "batch").await;
 
     let read = async |key| {
         let path = "/results/batch?from=0";
@@ -283,7 +284,7 @@
 }
 
 #[tokio::test]
-async fn data_leaves_an_owner_only_for_regions_that_are_allowed() {
+async fn an_owner_sends_data_only_to_allowed_regions() {
     let deployment = Deployment::start(1, 0).await;
     let mut config = routing(2);
     for route in &mut config.routes {
@@ -298,7 +299,7 @@
         .into();
     let owner = TestNode::start_so(NodeLog::new(&deployment.log), settings).await;
     owner.knows(1).await;
-    own(&owner, "batch", &batch()).await;
+    submit_to_owner(&owner, "batch", &batch()).await;
     let near = request(&owner, "batch", results_from(0, 0));
     assert!(matches!(
         ask(&owner, &near).await,
@@ -314,22 +315,22 @@
     }
 }
 
-/// As with an owner of the build before.
+/// Owners of an older version announce no address.
 #[tokio::test]
 async fn a_batch_of_an_owner_without_an_address_is_read_from_the_log() {
     let deployment = Deployment::start(1, 0).await;
     let owner = deployment.node("owner").await;
-    own(&owner, "batch", &batch()).await;
+    submit_to_owner(&owner, "batch", &batch()).await;
     let reader = peer_node(&deployment, "reader").await;
     wait_for_results(reader.callers, "batch", ITEMS.len()).await;
     assert!(records_read(&reader, "batch") > 0);
 }
 
 #[tokio::test]
-async fn questions_that_cannot_be_read_are_declined() {
-    let (_deployment, owner, _reader) = owner_and_reader(NEVER).await;
+async fn questions_that_cannot_be_decoded_are_declined() {
+    let (_deployment, owner, _reader) = owner_and_reader(LONG_PAUSE).await;
     let whole = request(&owner, "batch", results_from(0, 0)).encode();
-    // The number of the question's kind stands in front of its two numbers.
+    // The byte of the question's kind precedes its two numbers, of one byte each.
     let mut unknown_kind = whole.clone();
     let kind_at = unknown_kind.len() - 3;
     unknown_kind[kind_at] = 99;
@@ -347,11 +348,12 @@
 }
 
 #[tokio::test]
-async fn an_owner_that_is_asked_too_much_declines_and_readers_go_to_the_log() {
-    const MORE_THAN_IT_TAKES: usize = 80;
-    let (_deployment, owner, reader) = owner_and_reader(NEVER).await;
+async fn an_overloaded_owner_declines_and_readers_use_the_log() {
+    // More than the 64 questions that an owner answers at a time.
+    const QUESTIONS: usize = 80;
+    let (_deployment, owner, reader) = owner_and_reader(LONG_PAUSE).await;
     let owner = Arc::new(owner);
-    let waiting: Vec<_> = (0..MORE_THAN_IT_TAKES)
+    let waiting: Vec<_> = (0..QUESTIONS)
         .map(|_| {
             let owner = owner.clone();
             tokio::spawn(async move {
@@ -362,7 +364,7 @@
         .collect();
     tokio::time::sleep(Duration::from_millis(300)).await;
     assert_eq!(results(reader.callers, "batch", 0).await, (200, Vec::new()));
-    assert!(records_read(&reader, "batch") > 0, "the log was asked");
+    assert!(records_read(&reader, "batch") > 0, "the log was read");
     let mut declined = 0;
     for answer in waiting {
         match answer.await.unwrap() {
@@ -370,13 +372,13 @@
             answer => assert!(matches!(answer, PeerAnswer::Answered { .. }), "{answer:?}"),
         }
     }
-    assert_eq!(declined, MORE_THAN_IT_TAKES - 64);
+    assert_eq!(declined, QUESTIONS - 64);
 }
 
-/// A trainer's next read waits at a node that knows nothing of the batch, whose link to the log is slow: with the owner's help
-/// it is answered as soon as an item has ended.
+/// A trainer's read waits at a node that has not read the batch and whose link to the log is slow. If the node asks the
+/// owner, the read is answered as soon as an item has ended.
 #[tokio::test]
-async fn many_readers_hear_of_an_item_as_soon_as_it_has_ended() {
+async fn waiting_readers_get_an_item_as_soon_as_it_has_ended() {
     const READERS: usize = 6;
     const ROUND_TRIP: Duration = Duration::from_millis(150);
     let with_peers = longest_delay(READERS, ROUND_TRIP, true).await;
@@ -388,10 +390,10 @@
     assert!(without >= ROUND_TRIP, "{without:?}");
 }
 
-/// Longest time from the end of an item to the answers of readers at other nodes that waited for it.
+/// Longest time from the end of an item to the answer of a reader at another node that waited for it.
 async fn longest_delay(count: usize, read_delay: Duration, has_peers: bool) -> Duration {
     let deployment = Deployment::start(1, 0).await;
-    deployment.engines[0].behave(|told| told.event_pause = Duration::from_millis(500));
+    deployment.engines[0].behave(|behaviour| behaviour.event_pause = Duration::from_millis(500));
     let node = async |name: &str| match has_peers {
         true => peer_node(&deployment, name).await,
         false => deployment.node(name).await,
@@ -402,14 +404,14 @@
         readers.push(node(&format!("reader-{at}")).await);
     }
     let id = BatchId::from("batch");
-    own(&owner, "batch", &write_batch(1, &[("i1", "g")], false)).await;
+    submit_to_owner(&owner, "batch", &write_batch(1, &[("i1", "g")], false)).await;
     for reader in &readers {
         reader.set_faults(LogFaults {
             read_delay,
             ..LogFaults::default()
         });
         if has_peers {
-            wait_until_asked(reader, &owner, "batch").await;
+            wait_until_owner_known(reader, &owner, "batch").await;
         }
     }
     tokio::time::sleep(Duration::from_millis(1_200)).await;
--- a/crates/gateway/tests/sizing.rs
+++ b/crates/gateway/tests/sizing.rs
@@ -1,4 +1,4 @@
-//! Sizes of pools are ordered by the holder of the lease for orders, and again by the next one.
+//! The holder of the order lease orders pool sizes, and the next holder repeats the orders.
 
 mod support;
 
@@ -16,7 +16,8 @@
 use support::log::NodeLog;
 use support::operations::StandInOperations;
 
-fn sized(name: &str) -> Settings {
+/// Settings with automatic sizing of pools.
+fn autoscale_settings(name: &str) -> Settings {
     let mut settings = settings(name);
     settings.operations = Some(OperationsSettings {
         address: "127.0.0.1:1".parse().unwrap(),
@@ -26,7 +27,7 @@
     settings
 }
 
-/// Engines may be ordered, and batches are due at once.
+/// Routing in which the engine pool can be resized and batches are due almost at once.
 fn scaled_routing() -> RoutingConfig {
     let mut config = routing(2);
     for route in &mut config.routes {
@@ -45,23 +46,26 @@
 
 async fn start(deployment: &Deployment, platform: &Arc<StandInOperations>, name: &str) -> TestNode {
     let log = NodeLog::new(&deployment.log);
-    let node = TestNode::start_beside(log, sized(name), Some(platform.clone())).await;
+    let node = TestNode::start_beside(log, autoscale_settings(name), Some(platform.clone())).await;
     node.knows(2).await;
     node
 }
 
 #[tokio::test]
-async fn a_full_pool_that_is_behind_is_ordered_larger_by_each_holder_once() {
+async fn each_holder_orders_a_larger_size_once_for_a_full_pool_that_is_behind() {
     let (deployment, platform) = (Deployment::start(1, 1).await, StandInOperations::new());
     deployment
         .log
         .write_operators(DirectoryEntry::Routing(scaled_routing()));
-    deployment.engines[0].behave(|told| told.event_pause = Duration::from_secs(600));
+    deployment.engines[0].behave(|behaviour| behaviour.event_pause = Duration::from_secs(600));
     let (mut first, mut second) = (
         start(&deployment, &platform, "a").await,
         start(&deployment, &platform, "b").await,
     );
-    assert!(platform.sizes().is_empty(), "nothing is ordered unasked");
+    assert!(
+        platform.sizes().is_empty(),
+        "nothing is ordered without load"
+    );
     let items: Vec<String> = (0..12).map(|at| format!("i{at}")).collect();
     let items: Vec<(&str, &str)> = items.iter().map(|item| (item.as_str(), "g")).collect();
     let body = write_batch(1, &items, false);
--- a/crates/gateway/tests/support/operations.rs
+++ b/crates/gateway/tests/support/operations.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the platform's interface for operations, which remembers what it was told.
+//! A stand-in for the platform's interface for operations, which records the calls it receives.
 
 use std::sync::{Arc, Mutex};
 
@@ -8,19 +8,19 @@
 };
 use havenstage_rollout::usage::{RequestCounts, UsageWindow};
 
-/// A report as it came.
+/// A usage report that was received, with the fencing token of its sender.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SeenReport {
+pub struct ReceivedReport {
     pub holder: String,
     pub fence: u64,
     pub window: UsageWindow,
     pub counts: RequestCounts,
 }
 
-/// The platform.
+/// Records calls, and fails them on request.
 #[derive(Default)]
 pub struct StandInOperations {
-    seen: Mutex<Vec<SeenReport>>,
+    reports: Mutex<Vec<ReceivedReport>>,
     sizes: Mutex<Vec<(SizeOrder, u64)>>,
     fault: Mutex<Option<DutyError>>,
 }
@@ -30,26 +30,29 @@
         Arc::default()
     }
 
-    /// Calls fail from now on, or work again. One that is not answered is taken all the same.
+    /// Makes calls fail from now on, or succeed again with `None`. A call that fails as unanswered is recorded.
     pub fn fail(&self, fault: Option<DutyError>) {
         *self.fault.lock().unwrap() = fault;
     }
 
-    pub fn seen(&self) -> Vec<SeenReport> {
-        self.seen.lock().unwrap().clone()
+    pub fn reports(&self) -> Vec<ReceivedReport> {
+        self.reports.lock().unwrap().clone()
     }
 
-    /// Sizes that were ordered, with the fencing tokens.
+    /// The size orders received, with their fencing tokens.
     pub fn sizes(&self) -> Vec<(SizeOrder, u64)> {
         self.sizes.lock().unwrap().clone()
     }
 
-    /// Requests of a tenant in all windows, each of which must have been told alike each time.
+    /// Requests of a tenant in all windows. Repeated reports of a window must have the same counts.
     pub fn reported(&self, tenant: &str) -> u64 {
-        let mut windows: Vec<SeenReport> = Vec::new();
-        for report in self.seen() {
+        let mut windows: Vec<ReceivedReport> = Vec::new();
+        for report in self.reports() {
             match windows.iter().find(|known| known.window == report.window) {
-                Some(known) => assert_eq!(known.counts, report.counts, "two sums of a window"),
+                Some(known) => assert_eq!(
+                    known.counts, report.counts,
+                    "two different sums of a window"
+                ),
                 None => windows.push(report),
             }
         }
@@ -70,7 +73,7 @@
     ) -> Result<(), DutyError> {
         let fault = *self.fault.lock().unwrap();
         if matches!(fault, None | Some(DutyError::Unanswered)) {
-            self.seen.lock().unwrap().push(SeenReport {
+            self.reports.lock().unwrap().push(ReceivedReport {
                 holder: authority.holder.clone(),
                 fence: authority.fence,
                 window: report.window,
--- a/crates/gateway/tests/support/peers.rs
+++ b/crates/gateway/tests/support/peers.rs
@@ -1,4 +1,4 @@
-//! Nodes that answer each other's questions about batches.
+//! Nodes that answer each other's questions about batches, and test questions to them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,16 +16,16 @@
 use super::deployment::{Deployment, TestNode, settings, wait_until};
 use super::log::NodeLog;
 
-const PATIENCE: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Settings of a node that answers others.
+/// Settings of a node that answers other nodes, on a free port.
 pub fn peer_settings(name: &str) -> Settings {
     let mut settings = settings(name);
     settings.listen.peers = Some(SocketAddr::from(([127, 0, 0, 1], 0)));
     settings
 }
 
-/// A node that answers others, once it knows all back ends.
+/// Starts a node that answers other nodes, and waits until it knows all back ends.
 pub async fn peer_node(deployment: &Deployment, name: &str) -> TestNode {
     let log = NodeLog::new(&deployment.log);
     let node = TestNode::start_so(log, peer_settings(name)).await;
@@ -34,15 +34,15 @@
     node
 }
 
-/// Hands a batch to the only node that runs, which then owns it.
-pub async fn own(node: &TestNode, batch: &str, body: &str) {
+/// Submits a batch to the only node of the deployment, and waits until the node owns the batch.
+pub async fn submit_to_owner(node: &TestNode, batch: &str, body: &str) {
     assert_eq!(submit(node.callers, batch, body).await, 202);
     let id = BatchId::from(batch);
     wait_until("the node runs the batch", || node.context().holds(&id)).await;
 }
 
-/// Waits until `reader` knows that `owner` runs a batch, and where it answers.
-pub async fn wait_until_asked(reader: &TestNode, owner: &TestNode, batch: &str) {
+/// Waits until `reader` knows that `owner` runs a batch, and the address at which `owner` answers.
+pub async fn wait_until_owner_known(reader: &TestNode, owner: &TestNode, batch: &str) {
     let id = BatchId::from(batch);
     wait_until("the owner and its address are known", || {
         let control = reader.context().control.lock();
@@ -53,14 +53,14 @@
     .await;
 }
 
-/// Records of the batch's partition that a node has read.
+/// Number of records that a node has read of the batch's partition.
 pub fn records_read(node: &TestNode, batch: &str) -> u64 {
     let id = BatchId::from(batch);
     let partitions = &node.context().partitions;
     partitions.of(&id).lock().next
 }
 
-/// A question about a batch to a node, as another node of its zone asks it.
+/// A question about a batch, as another node of the same zone asks it.
 pub fn request(to: &TestNode, batch: &str, question: PeerQuestion) -> PeerRequest {
     PeerRequest {
         to: to.context().node.clone(),
@@ -75,13 +75,13 @@
     PeerQuestion::Results { from, wait_ms }
 }
 
-/// Sends bytes as a question.
+/// Sends the bytes of a request body to a path.
 pub async fn send_bytes(to: SocketAddr, path: &str, body: Bytes) -> WholeAnswer {
     let link = Link::new(
         to,
         LinkSettings {
-            connect_timeout: PATIENCE,
-            keep_idle: PATIENCE,
+            connect_timeout: TIMEOUT,
+            keep_idle: TIMEOUT,
             most_idle: 0,
         },
     );
@@ -91,16 +91,16 @@
         .header("host", "peer")
         .body(Full::new(body))
         .unwrap();
-    let answer = link.send(request, PATIENCE).await.unwrap();
+    let answer = link.send(request, TIMEOUT).await.unwrap();
     answer.whole(1 << 20).await.unwrap()
 }
 
-/// Where a node answers others.
+/// The address at which a node answers other nodes.
 pub fn address_of(node: &TestNode) -> SocketAddr {
     node.context().peers.own_address().expect("it listens")
 }
 
-/// Asks a node.
+/// Sends a question to a node and returns its answer.
 pub async fn ask(node: &TestNode, request: &PeerRequest) -> PeerAnswer {
     let body = Bytes::from(request.encode());
     let answer = send_bytes(address_of(node), "/batch-question", body).await;
--- a/crates/gateway/tests/support/suspension.rs
+++ b/crates/gateway/tests/support/suspension.rs
@@ -1,4 +1,4 @@
-//! Suspensions of single nodes: the clock that counts them moves on for one node's thread alone.
+//! Simulated suspensions of single nodes: each thread has its own suspended time, and each node runs on its own thread.
 
 use std::cell::Cell;
 use std::sync::Once;
@@ -10,14 +10,15 @@
 
 static PREPARED: Once = Once::new();
 
-/// Lets threads be suspended. Comes first in each test of a file that suspends nodes.
+/// Installs a clock source that allows threads to be suspended. Must be called first in each test of a file that
+/// suspends nodes, before any clock is read.
 pub fn prepare() {
     PREPARED.call_once(|| {
         havenstage_clock::replace_source(|| SUSPENDED.get()).expect("no clock was read before");
     });
 }
 
-/// This thread's machine was suspended for so long, just now.
+/// Simulates that the machine of this thread was just suspended for this time.
 pub fn suspend_this_thread(time: Duration) {
     SUSPENDED.set(SUSPENDED.get() + time);
 }
--- a/crates/gateway/tests/suspended.rs
+++ b/crates/gateway/tests/suspended.rs
@@ -1,5 +1,6 @@
-//! A machine is suspended for seconds: its steady clock stands still, everybody else's time passes. What it
-//! knew before is then as old as for everybody, and nothing is sent, started or ordered on it.
+//! A machine is suspended for seconds: its monotonic clock stands still while time passes for all other nodes. The
+//! age of its knowledge must include the suspension, and the node must not send, start or order anything based on
+//! outdated knowledge.
 
 mod support;
 
@@ -16,30 +17,30 @@
 use support::deployment::{Deployment, TestNode, settings, wait_until};
 use support::dialect::{MODEL, write_batch};
 use support::log::{LogFaults, NodeLog};
-use support::peers::{ask, own, peer_node, request, results_from};
+use support::peers::{ask, peer_node, request, results_from, submit_to_owner};
 use support::suspension;
 
-/// Longer than any knowledge, lease or deadline of the tests lasts.
+/// Longer than any lease, deadline or limit on the age of knowledge in these tests.
 const SUSPENDED: Duration = Duration::from_secs(20);
-/// Time that must lie between orders of two holders: longer than it takes the second one to hold the lease.
+/// Least time between the orders of two holders: longer than the second one takes to get the lease.
 const ORDER_LEASE: Duration = Duration::from_secs(5);
 
 #[tokio::test]
-async fn what_a_node_knew_is_as_old_as_for_everybody() {
+async fn a_suspension_counts_towards_the_age_of_knowledge() {
     suspension::prepare();
     let deployment = Deployment::start(1, 0).await;
-    deployment.engines[0].behave(|told| told.event_pause = Duration::from_millis(800));
+    deployment.engines[0].behave(|behaviour| behaviour.event_pause = Duration::from_millis(800));
     let node = deployment.node("a").await;
     let body = write_batch(1, &[("i1", "g1"), ("i2", "g1")], false);
     assert_eq!(submit(node.callers, "batch", &body).await, 202);
-    wait_until("it runs", || deployment.engines[0].runs().len() == 2).await;
+    wait_until("the items run", || deployment.engines[0].runs().len() == 2).await;
     let context = node.context().clone();
     let (before, after) = node
         .on_its_thread(move || {
-            let look = || (context.write_by(&"batch".into()).is_some(), context.now());
-            let before = look();
+            let observe = || (context.write_by(&"batch".into()).is_some(), context.now());
+            let before = observe();
             suspension::suspend_this_thread(SUSPENDED);
-            (before, (look(), context.contact_age()))
+            (before, (observe(), context.contact_age()))
         })
         .await;
     let (((may_write, now), contact_age), (could_write, then)) = (after, before);
@@ -48,14 +49,14 @@
     assert!(contact_age >= SUSPENDED.as_millis() as u64);
 }
 
-/// What other nodes' callers are told is as fresh as for its own.
+/// An owner answers other nodes only from knowledge that is fresh enough for its own callers.
 #[tokio::test]
-async fn an_owner_that_was_suspended_says_nothing_new_from_no_old_knowledge() {
+async fn a_suspended_owner_does_not_answer_from_outdated_knowledge() {
     suspension::prepare();
     let deployment = Deployment::start(1, 0).await;
-    deployment.engines[0].behave(|told| told.event_pause = Duration::from_secs(60));
+    deployment.engines[0].behave(|behaviour| behaviour.event_pause = Duration::from_secs(60));
     let owner = peer_node(&deployment, "owner").await;
-    own(&owner, "batch", &write_batch(1, &[("i1", "g1")], false)).await;
+    submit_to_owner(&owner, "batch", &write_batch(1, &[("i1", "g1")], false)).await;
     let question = request(&owner, "batch", results_from(0, 0));
     let answer = ask(&owner, &question).await;
     assert!(matches!(answer, PeerAnswer::Answered { .. }), "{answer:?}");
@@ -73,7 +74,7 @@
     suspension::prepare();
     let deployment = Deployment::start(0, 2).await;
     for backend in &deployment.applications {
-        backend.behave(|told| told.call = CallBehaviour::NotRun);
+        backend.behave(|behaviour| behaviour.call = CallBehaviour::NotRun);
     }
     let node = Arc::new(deployment.node("a").await);
     let seen = || {
@@ -82,22 +83,22 @@
     };
     let address = node.callers;
     let answer = tokio::spawn(async move { call(address, "call", "/calls/c").await });
-    wait_until("it is sent", || seen() > 0).await;
+    wait_until("the call is sent", || seen() > 0).await;
     node.suspend(SUSPENDED).await;
     let before = seen();
-    assert_eq!(answer.await.unwrap().status, 503, "it did not run");
-    // One may have been written before.
+    assert_eq!(answer.await.unwrap().status, 503, "the call did not run");
+    // One more may have been written before the suspension took effect.
     assert!(seen() <= before + 1, "{} sends after it", seen() - before);
 }
 
-/// An order is written down, and the machine is suspended before the log's answer comes. Others have taken
-/// the lease since, for all it knows.
+/// Guards against an order under an expired lease. An order is appended, and the machine is suspended before the
+/// answer of the log arrives. Another node may hold the lease by then.
 #[tokio::test]
-async fn no_order_is_given_on_a_lease_from_before_a_suspension() {
+async fn no_order_is_sent_under_a_lease_from_before_a_suspension() {
     suspension::prepare();
     let deployment = Deployment::start(1, 0).await;
     let node = deployment.node("a").await;
-    wait_until("it holds the lease", || {
+    wait_until("the node holds the lease", || {
         let control = node.context().control.lock();
         control.state.lease().is_held_by(&node.context().node)
     })
@@ -113,7 +114,7 @@
         version: 2,
     };
     deployment.log.write_operators(named);
-    wait_until("the order is written down", || {
+    wait_until("the order is in the log", || {
         let control = node.context().control.lock();
         control.state.all_pending().next().is_some()
     })
@@ -122,16 +123,16 @@
     tokio::time::sleep(late + Duration::from_millis(150)).await;
     assert_eq!(deployment.engines[0].orders(), Vec::<String>::new());
     node.set_faults(LogFaults::default());
-    wait_until("it is given under a lease that was kept since", || {
+    wait_until("the order is sent under a renewed lease", || {
         !deployment.engines[0].orders().is_empty()
     })
     .await;
 }
 
-/// Guards against orders of two holders to one engine: the second holder was suspended after the first one's order, and
-/// by its clock that was long past.
+/// Guards against orders of two holders to one engine that are too close together. The second holder is suspended after
+/// the first one's order; if it counts the suspension, it can take that order for older than it is.
 #[tokio::test]
-async fn a_suspension_makes_no_order_of_another_holder_older() {
+async fn a_suspension_does_not_age_orders_of_another_holder() {
     suspension::prepare();
     let deployment = Deployment::start(1, 0).await;
     let start = async |name| {
@@ -150,7 +151,7 @@
     };
     let orders = || deployment.engines[0].order_times();
     name(2);
-    wait_until("the first holder gives an order", || orders().len() == 1).await;
+    wait_until("the first holder sends an order", || orders().len() == 1).await;
     let second = start("b").await;
     first.stop().await;
     wait_until("the second one holds the lease", || {
@@ -160,12 +161,13 @@
     .await;
     name(3);
     second.suspend(SUSPENDED).await;
-    wait_until("the second one gives an order", || orders().len() == 2).await;
+    wait_until("the second one sends an order", || orders().len() == 2).await;
     let apart = orders()[1] - orders()[0];
     assert!(apart >= ORDER_LEASE, "{apart:?} apart");
 }
 
-/// The same for calls that one node makes for all.
+/// Guards against calls to the platform of two holders that are too close together, after a suspension of the second
+/// one.
 #[tokio::test]
 async fn a_suspension_does_not_end_the_wait_for_a_former_holders_calls() {
     suspension::prepare();
