--- a/crates/gateway/src/order_run.rs
+++ b/crates/gateway/src/order_run.rs
@@ -155,7 +155,7 @@
     let load = || fingerprint::of_load(&order.model, order.version);
     match (report, send_outcome) {
         (Some(report), _) if order.is_fulfilled_by(report) => {
-            crash_guard::answered(context, &order.backend, true, load);
+            crash_guard::record_answer(context, &order.backend, true, load);
         }
         (Some(_), _) => {}
         // The back end was away before the order reached it, so its end is no evidence against the version.
@@ -171,7 +171,7 @@
                 link: chosen.link.clone(),
                 slot: None,
             };
-            crash_evidence::send_broke(context, unanswered).await;
+            crash_evidence::check_broken_send(context, unanswered).await;
         }
     }
 }
