--- a/crates/gateway/src/engine/candidates.rs
+++ b/crates/gateway/src/engine/candidates.rs
@@ -31,7 +31,8 @@
 
     /// Back ends that may run items now and whose weights are new enough for at least one of them. Excludes
     /// back ends whose circuit breaker is open, that load a version, or that are cold while others are warm.
-    /// `oldest` is the oldest version of each model that any item may run on.
+    /// `oldest` is the oldest version of each model that any item may run on; if it is empty, no back end is
+    /// excluded for its version.
     pub(super) fn candidates(
         &self,
         pool: Option<&Pool>,
@@ -46,7 +47,7 @@
         let other_nodes_tokens = self.other_nodes_tokens();
         let capacity = pool.and_then(|pool| pool.memory_tokens);
         let groups = self.groups_by_backend();
-        let own = self.own_running_by_backend();
+        let own_running = self.own_running_by_backend();
         let owners = self.context.batch_owners();
         let sender = Sender::Item {
             node: own_node,
@@ -79,7 +80,7 @@
             let versions = |model: &ModelName| (model.clone(), backends.version(id, model));
             let own_gap = backends.event_gap(id, now);
             let gap_ms = expected_gap_ms(own_gap, reported_gaps_ms.get(id).copied(), median_gap_ms);
-            let running = own.get(id).copied().unwrap_or(0)
+            let running = own_running.get(id).copied().unwrap_or(0)
                 + other_nodes_running.get(id).copied().unwrap_or(0);
             let allowance = match admission {
                 Admission::Probe => Some(1),
--- a/crates/gateway/src/engine/carried_over.rs
+++ b/crates/gateway/src/engine/carried_over.rs
@@ -53,11 +53,11 @@
         if self.items.get(key).is_none_or(|item| item.events > 0) {
             return false;
         }
-        let is_carried = self
+        let is_carried_over = self
             .carried_over
             .get(&key.batch)
             .is_some_and(|carried_over| carried_over.items.contains(&key.item));
-        if !is_carried {
+        if !is_carried_over {
             return false;
         }
         let inner = self.context.partition_of(&key.batch).lock();
--- a/crates/gateway/src/engine/item_lengths.rs
+++ b/crates/gateway/src/engine/item_lengths.rs
@@ -22,16 +22,18 @@
 }
 
 impl ItemLengths {
-    /// Number of tokens that an item is still expected to produce after `made_tokens`.
+    /// Number of tokens that an item is still expected to produce after `produced_tokens`.
     pub(super) fn expected_remaining(
         &self,
         pool: &PoolName,
         item: &ItemState,
-        made_tokens: u32,
+        produced_tokens: u32,
     ) -> u32 {
         match self.by_pool.get(pool) {
-            Some(history) => history.expected_remaining(item.expected_tokens, made_tokens),
-            None => LengthHistory::default().expected_remaining(item.expected_tokens, made_tokens),
+            Some(history) => history.expected_remaining(item.expected_tokens, produced_tokens),
+            None => {
+                LengthHistory::default().expected_remaining(item.expected_tokens, produced_tokens)
+            }
         }
     }
 
@@ -60,7 +62,7 @@
         }
     }
 
-    /// Adds an item to a back end.
+    /// Counts an item's tokens on a back end.
     pub(super) fn add_item(&mut self, backend: &BackendId, tokens: ItemTokens) {
         let items = self.on_backends.entry(backend.clone()).or_default();
         items.push(tokens);
--- a/crates/gateway/src/engine/leases.rs
+++ b/crates/gateway/src/engine/leases.rs
@@ -25,7 +25,7 @@
 /// batch can be submitted to the same node.
 const CLOSED_LINGER_MS: Millis = 4_000;
 /// Pause before the append of a release announcement is retried.
-const REPEAT_PAUSE: Duration = Duration::from_millis(200);
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
 /// Time after which a batch is announced as closed again if the index still shows it as open.
 const CLOSED_REPEAT_MS: Millis = 2_000;
 
@@ -140,7 +140,7 @@
         let now = self.context.now();
         let silence_ms = self.context.settings.tuning.silence_ms;
         let claim = format!("{} {batch}", self.context.node);
-        let again_after_ms = claim_again_after_ms(&self.context, &claim);
+        let retry_after_ms = claim_again_after_ms(&self.context, &claim);
         match outcome {
             ClaimOutcome::Claimed => {}
             ClaimOutcome::Closed => self.announce_closed(batch, now),
@@ -149,7 +149,7 @@
                 self.claim_not_before.insert(batch, now + silence_ms);
             }
             ClaimOutcome::RetryLater => {
-                self.claim_not_before.insert(batch, now + again_after_ms);
+                self.claim_not_before.insert(batch, now + retry_after_ms);
             }
         }
     }
@@ -213,7 +213,7 @@
     };
     while let Err(error) = append_control(&context, &record).await {
         warn!(event = "release_not_written", reason = error.to_string().as_str(); "");
-        tokio::time::sleep(REPEAT_PAUSE).await;
+        tokio::time::sleep(RETRY_PAUSE).await;
     }
     context.released.store(true, Ordering::Relaxed);
 }
--- a/crates/gateway/src/engine/outbox.rs
+++ b/crates/gateway/src/engine/outbox.rs
@@ -11,9 +11,9 @@
 use havenstage_rollout::stored::Stored;
 
 /// Overhead of the log per record, in bytes.
-const RECORD_OVERHEAD: usize = 8;
+const RECORD_OVERHEAD_BYTES: usize = 8;
 /// Pause before a failed append is retried.
-const REPEAT_PAUSE_MS: Millis = 120;
+const RETRY_PAUSE_MS: Millis = 120;
 
 /// Size limits of an append.
 #[derive(Debug, Clone, Copy)]
@@ -30,7 +30,7 @@
     limits: AppendLimits,
     waiting: VecDeque<Vec<Bytes>>,
     in_flight: Option<Vec<Bytes>>,
-    not_before: Millis,
+    retry_not_before: Millis,
     /// When the last append began, by the node's clock; 0 before the first.
     pub last_append: Millis,
     /// Whether a record should be appended soon instead of waiting for more records.
@@ -46,7 +46,7 @@
             limits,
             waiting: VecDeque::new(),
             in_flight: None,
-            not_before: 0,
+            retry_not_before: 0,
             last_append: 0,
             is_urgent: false,
             written_at: 0,
@@ -75,7 +75,7 @@
 
     /// Whether an append may begin: records wait, none is in flight, and the pause after a failure is over.
     pub fn can_begin_append(&self, now: Millis) -> bool {
-        !self.waiting.is_empty() && self.in_flight.is_none() && now >= self.not_before
+        !self.waiting.is_empty() && self.in_flight.is_none() && now >= self.retry_not_before
     }
 
     /// Takes as many records as fit in a call. They are in flight until
@@ -106,7 +106,7 @@
             self.written_at = now;
         } else {
             self.waiting.push_front(call);
-            self.not_before = now + REPEAT_PAUSE_MS;
+            self.retry_not_before = now + RETRY_PAUSE_MS;
             self.is_urgent = true;
         }
     }
@@ -115,6 +115,6 @@
 fn size_of(pieces: &[Bytes]) -> usize {
     pieces
         .iter()
-        .map(|piece| piece.len() + RECORD_OVERHEAD)
+        .map(|piece| piece.len() + RECORD_OVERHEAD_BYTES)
         .sum()
 }
--- a/crates/gateway/src/engine/paused_starts.rs
+++ b/crates/gateway/src/engine/paused_starts.rs
@@ -8,7 +8,7 @@
 
 /// Time for which starts must be paused before it is logged. It is longer than the time between two responses of
 /// the log while nothing is written.
-const LOG_AFTER_MS: Millis = 1_500;
+const LOG_DELAY_MS: Millis = 1_500;
 
 /// A pause of the starts in a partition.
 #[derive(Debug, Clone, Copy)]
@@ -30,7 +30,7 @@
             since: now,
             is_logged: false,
         });
-        if paused.is_logged || now.saturating_sub(paused.since) < LOG_AFTER_MS {
+        if paused.is_logged || now.saturating_sub(paused.since) < LOG_DELAY_MS {
             return true;
         }
         let inner = view.lock();
--- a/crates/gateway/src/engine/plan.rs
+++ b/crates/gateway/src/engine/plan.rs
@@ -105,9 +105,9 @@
         };
         let tokens_per_event = tokens_per_event(table, &first.pool);
         let optional = schedule::optional_items(batch, carried_over, |item| {
-            let made_tokens = (item.events.len() as u32).saturating_mul(tokens_per_event);
+            let produced_tokens = (item.events.len() as u32).saturating_mul(tokens_per_event);
             self.item_lengths
-                .expected_remaining(&first.pool, item, made_tokens)
+                .expected_remaining(&first.pool, item, produced_tokens)
         });
         let residency = table.residency(route, batch.tenant.as_ref());
         let claim = scheduling_claim(batch, route, table);
@@ -122,7 +122,7 @@
                 item: item.id.clone(),
             };
             let active_item = self.items.get(&key);
-            let made_tokens = event_count(active_item, item).saturating_mul(tokens_per_event);
+            let produced_tokens = event_count(active_item, item).saturating_mul(tokens_per_event);
             let spec = item.spec.as_ref();
             let prompt_tokens = spec.map_or(0, |spec| self.context.dialect.prompt_tokens(spec));
             let item = WaitingItem {
@@ -132,8 +132,8 @@
                 claim: claim.clone(),
                 expected_tokens: self
                     .item_lengths
-                    .expected_remaining(pool, item, made_tokens),
-                held_tokens: prompt_tokens.saturating_add(made_tokens),
+                    .expected_remaining(pool, item, produced_tokens),
+                held_tokens: prompt_tokens.saturating_add(produced_tokens),
                 batch_first_seen: batch.first_seen,
                 model: batch.model.clone(),
                 minimum_version: batch.minimum_version,
--- a/crates/gateway/src/engine/run.rs
+++ b/crates/gateway/src/engine/run.rs
@@ -50,7 +50,7 @@
     pub key: ItemKey,
     /// The run; the engine ignores messages of runs that are not the item's current one.
     pub run: RunId,
-    /// The event that the message reports.
+    /// What happened.
     pub update: RunUpdate,
 }
 
@@ -145,7 +145,7 @@
     /// When the item is given up; sent to the back end as the time left.
     pub deadline: Instant,
     /// Time after which nothing of the request may be written: the batch may have been ended.
-    pub write_by: Instant,
+    pub write_deadline: Instant,
     /// Urgency that is sent to the back end; 0 is the most urgent.
     pub urgency: u8,
     /// Notified by the engine when the run counts as stalled.
@@ -220,15 +220,15 @@
         return RunEnd::Impossible;
     };
     let sending = Sending::within(HEAD_TIMEOUT)
-        .written_by(parameters.write_by)
+        .written_by(parameters.write_deadline)
         .patient_for(send::HEAD_SILENCE_TIMEOUT)
         .ended_when_silent();
     let answer = match backend.link.send_as(request.clone(), sending).await {
         // The silent connection was closed with a reset, which cancels a run that may have begun. The other
         // connections to the back end are closed too, so the second attempt uses a new one.
         Err(LinkError::Silent) => {
-            let again = backend.link.send_as(request, sending).await;
-            again.map_err(|_| LinkError::Silent)
+            let second_attempt = backend.link.send_as(request, sending).await;
+            second_attempt.map_err(|_| LinkError::Silent)
         }
         answer => answer,
     };
--- a/crates/gateway/src/engine/start.rs
+++ b/crates/gateway/src/engine/start.rs
@@ -29,7 +29,7 @@
 
 impl Engine {
     pub(super) fn start(&mut self, key: &ItemKey, backend_id: &BackendId, urgency: u8) {
-        let Some(write_by) = self.context.write_by(&key.batch) else {
+        let Some(write_deadline) = self.context.write_by(&key.batch) else {
             return;
         };
         let now = self.context.now();
@@ -62,7 +62,7 @@
                 first_version: item.first_version,
             },
             deadline: start.deadline,
-            write_by,
+            write_deadline,
             urgency,
             stall_signal: stall_signal.clone(),
         };
