--- a/crates/gateway/src/coordinator/suspension.rs
+++ b/crates/gateway/src/coordinator/suspension.rs
@@ -25,9 +25,9 @@
     /// Time for which the machine was suspended since the last call; `None` if it was not.
     fn newly_suspended(&mut self) -> Option<Duration> {
         let suspended = havenstage_clock::suspended();
-        let newly = suspended.saturating_sub(self.total);
+        let added = suspended.saturating_sub(self.total);
         self.total = suspended;
-        (!newly.is_zero()).then_some(newly)
+        (!added.is_zero()).then_some(added)
     }
 }
 
--- a/crates/gateway/src/metering/reporter.rs
+++ b/crates/gateway/src/metering/reporter.rs
@@ -128,8 +128,8 @@
             return self.decide_start(unix_now).await;
         };
         let next = newest + 1;
-        let over_for = unix_now.saturating_sub((next + 1) * self.settings.window_ms);
-        if next >= present || over_for < self.decision_delay() {
+        let since_end_ms = unix_now.saturating_sub((next + 1) * self.settings.window_ms);
+        if next >= present || since_end_ms < self.decision_delay() {
             return Ok(Step::NothingDue);
         }
         let counts = self.sum_counts(next).await?;
@@ -138,7 +138,7 @@
 
     /// Sets where the first lease holder starts, by an empty decision for the window before. The start is the oldest
     /// window with counts in the log or the oldest that is not due yet, whichever is older, as counts of a window
-    /// that is not due may still reach the log.
+    /// that is not due may still reach the log. It is at most [`MAX_AGE_WINDOWS`] before the oldest that is not due.
     async fn decide_start(&self, unix_now: UnixMillis) -> Result<Step, LogError> {
         self.read_all().await?;
         let oldest = self
@@ -215,11 +215,11 @@
         let outcome = answer.map_or_else(DutyError::name, |()| "done");
         metrics::usage_reported(outcome);
         let unix_now = self.context.time_of_day.now();
-        let over_for = unix_now.saturating_sub((decided.window + 1) * self.settings.window_ms);
+        let since_end_ms = unix_now.saturating_sub((decided.window + 1) * self.settings.window_ms);
         info!(event = "usage_reported", window = decided.window, fence = authority.fence,
-            outcome = outcome, over_for_ms = over_for,
+            outcome = outcome, over_for_ms = since_end_ms,
             took_ms = began.elapsed().as_millis() as u64; "");
-        let is_given_up = over_for > MAX_AGE_WINDOWS * self.settings.window_ms;
+        let is_given_up = since_end_ms > MAX_AGE_WINDOWS * self.settings.window_ms;
         if answer.is_err() && !is_given_up {
             return Ok(Step::Failed);
         }
--- a/crates/gateway/src/peers/answers.rs
+++ b/crates/gateway/src/peers/answers.rs
@@ -1,5 +1,5 @@
-//! Answers to questions of other nodes about batches that this node runs. An answer is the one
-//! that a caller of this node would get. If there is none, the question is declined.
+//! Answers to questions of other nodes about batches that this node runs. A question gets the answer that a caller of
+//! this node would get, or is declined.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/gateway/src/peers/questions.rs
+++ b/crates/gateway/src/peers/questions.rs
@@ -44,13 +44,13 @@
     NotDone,
 }
 
-/// The owner's answer to a call for results made at `asked`; `None` if this node is to answer the call.
+/// The owner's answer to a call for results made at `asked_at`; `None` if this node is to answer the call.
 pub(crate) async fn results(
     context: &Context,
     caller: &Caller,
     batch: &BatchId,
     from: usize,
-    asked: Instant,
+    asked_at: Instant,
     wait: Duration,
 ) -> Option<BatchAnswer> {
     let owner = owner_to_ask(context, batch)?;
@@ -58,32 +58,32 @@
         from: from as u64,
         wait_ms: wait.as_millis() as u64,
     };
-    let until = asked + wait + ANSWER_TIMEOUT;
+    let until = asked_at + wait + ANSWER_TIMEOUT;
     answer_of(ask(context, &owner, caller, batch, question, until).await)
 }
 
-/// The owner's answer to a call for the body of an item made at `asked`; `None` if this node is to answer the call.
+/// The owner's answer to a call for the body of an item made at `asked_at`; `None` if this node is to answer the call.
 pub(crate) async fn item_body(
     context: &Context,
     caller: &Caller,
     batch: &BatchId,
     item: &ItemId,
-    asked: Instant,
+    asked_at: Instant,
 ) -> Option<BatchAnswer> {
     let owner = owner_to_ask(context, batch)?;
     let question = PeerQuestion::ItemBody { item: item.clone() };
-    let until = asked + ANSWER_TIMEOUT;
+    let until = asked_at + ANSWER_TIMEOUT;
     answer_of(ask(context, &owner, caller, batch, question, until).await)
 }
 
-/// Asks the owner to end a batch, for a call that arrived at `began`.
+/// Asks the owner to end a batch, for a call that arrived at `arrived_at`.
 pub(crate) async fn end(
     context: &Context,
     caller: &Caller,
     batch: &BatchId,
-    began: Instant,
+    arrived_at: Instant,
 ) -> OwnerEndOutcome {
-    let until = began + END_TIMEOUT;
+    let until = arrived_at + END_TIMEOUT;
     let is_in_time = Instant::now() + MIN_END_TIME <= until;
     let owner = owner_of(context, batch).filter(|owner| is_in_time && !is_paused(context, owner));
     let Some(owner) = owner else {
@@ -141,11 +141,11 @@
     let control = context.control.lock();
     let indexed = control.state.index().batch(batch)?;
     let node = indexed.owner.holder()?;
-    let (address, heard) = control.state.peers().of(node)?;
+    let (address, last_heartbeat_at) = control.state.peers().of(node)?;
     (*node != context.node).then(|| Owner {
         node: node.clone(),
         address,
-        silent_ms: now.saturating_sub(heard),
+        silent_ms: now.saturating_sub(last_heartbeat_at),
     })
 }
 
