--- a/crates/gateway/src/access.rs
+++ b/crates/gateway/src/access.rs
@@ -28,7 +28,7 @@
 /// Who makes a call on a batch that was handed in; that it is turned away is told. Before a configuration is known,
 /// batches that belong to no tenant are still there for everybody.
 pub(crate) async fn admit_to_batches(context: &Context, head: &Parts) -> Result<Caller, Denied> {
-    let Some(table) = context.routes_soon().await else {
+    let Some(table) = context.wait_for_routes().await else {
         return Ok(Caller::Unverified);
     };
     let host = host_of(head).unwrap_or_default();
--- a/crates/gateway/src/backends.rs
+++ b/crates/gateway/src/backends.rs
@@ -168,12 +168,12 @@
         draw: u64,
     ) -> Option<ChosenBackend> {
         let id = self.lock().best_for_call(target, tried, now, draw)?;
-        self.take_for(&id, target.sender, now)
+        self.take_for_request(&id, target.sender, now)
     }
 
     /// Takes a certain back end for a request, if it is listed and may be sent one now. The last look before every
     /// send: its zone may be evacuated since it was chosen, or its requests of this second used up.
-    pub fn take_for(
+    pub fn take_for_request(
         self: &Arc<Self>,
         id: &BackendId,
         sender: Sender<'_>,
@@ -385,12 +385,12 @@
     }
 
     /// A back end was seen to have a version, which may be older than thought.
-    pub fn saw_version(&mut self, id: &BackendId, model: &ModelName, version: Version) {
+    pub fn record_version(&mut self, id: &BackendId, model: &ModelName, version: Version) {
         self.versions.insert((id.clone(), model.clone()), version);
     }
 
     /// Events of a stream came so far apart.
-    pub fn saw_event_gap(&mut self, id: &BackendId, gap: EqualGaps, now: Millis) {
+    pub fn record_event_gaps(&mut self, id: &BackendId, gap: EqualGaps, now: Millis) {
         self.speeds
             .entry(id.clone())
             .or_default()
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -271,7 +271,7 @@
     }
 
     /// The routes in force; a node that has just started waits a moment for them.
-    pub async fn routes_soon(&self) -> Option<Arc<RouteTable>> {
+    pub async fn wait_for_routes(&self) -> Option<Arc<RouteTable>> {
         let known = self.routes_known.notified();
         tokio::pin!(known);
         known.as_mut().enable();
@@ -299,16 +299,16 @@
     }
 
     /// Believes what the control stream tells of versions.
-    pub fn note_observed_versions(&self) {
+    pub fn apply_observed_versions(&self) {
         let observed = self.control.lock().state.take_observed();
         let mut backends = self.backends.lock();
         for seen in observed {
-            backends.saw_version(&seen.backend, &seen.model, seen.version);
+            backends.record_version(&seen.backend, &seen.model, seen.version);
         }
     }
 
     /// A trainer named a version.
-    pub fn name_version(&self, model: ModelName, version: Version) -> bool {
+    pub fn record_named_version(&self, model: ModelName, version: Version) -> bool {
         let mut named = self.named.lock().unwrap_or_else(PoisonError::into_inner);
         let known = named.entry(model).or_insert(0);
         let is_newer = *known < version;
@@ -364,12 +364,12 @@
     }
 
     /// Usual time between two reads of a stream; none in a small fleet.
-    pub fn read_gap(&self) -> Duration {
+    pub fn read_interval(&self) -> Duration {
         Duration::from_millis(self.pace().read_interval_ms)
     }
 
     /// Has reads of the log wait for their answers as long as those of the whole fleet may take together.
-    pub fn follow_fleet_size(&self) {
+    pub fn adapt_read_timeout(&self) {
         let start_bytes = START_BYTES * self.fleet_size() as f64;
         let start = Duration::from_secs_f64(start_bytes / self.settings.log.read_bytes_per_s());
         let timeout = SMALL_FLEET_TIMEOUT + start;
@@ -384,7 +384,7 @@
 
     /// Decides which partitions of batches this node needs: those of the batches that it runs, or
     /// that are given to it, and of the same trainers' batches before them.
-    pub fn choose_what_to_follow(&self) {
+    pub fn choose_followed_partitions(&self) {
         let own = self.own_batches();
         let control = self.control.lock();
         let gives_orders = control.state.lease().is_held_by(&self.node);
@@ -426,7 +426,7 @@
     }
 
     /// The even share of a pool's places for each node that runs batches, this one among them.
-    pub fn share_of_places(&self, pool: &PoolName) -> u32 {
+    pub fn fair_slot_share(&self, pool: &PoolName) -> u32 {
         let control = self.control.lock();
         let open = control.state.index().open();
         let others = open.filter_map(|batch| batch.owner.holder());
@@ -479,12 +479,12 @@
     }
 
     /// Whether this node runs batches or gives orders.
-    pub fn takes_part(&self) -> bool {
+    pub fn is_participating(&self) -> bool {
         *self.takes_part.borrow()
     }
 
     /// Waits until this node runs batches or gives orders.
-    pub async fn wait_until_it_takes_part(&self) {
+    pub async fn wait_until_participating(&self) {
         let mut takes_part = self.takes_part.subscribe();
         // The sender lives as long as `self`.
         let _ = takes_part.wait_for(|takes_part| *takes_part).await;
@@ -510,7 +510,10 @@
     }
 
     /// Lasting gap between events of each back end, in milliseconds, as the nodes that `counts` takes tell.
-    pub fn told_gaps_ms(&self, counts: impl Fn(&NodeId) -> bool) -> BTreeMap<BackendId, f64> {
+    pub fn reported_event_gaps_ms(
+        &self,
+        counts: impl Fn(&NodeId) -> bool,
+    ) -> BTreeMap<BackendId, f64> {
         let since = self.now().saturating_sub(TOLD_GAPS_COUNT_MS);
         let occupancy = self.occupancy.lock();
         let mut told: BTreeMap<BackendId, Vec<f64>> = BTreeMap::new();
@@ -532,7 +535,7 @@
     }
 
     /// This node runs batches at this moment.
-    pub fn note_busy(&self) {
+    pub fn mark_busy(&self) {
         self.busy_until
             .fetch_max(self.now() + BUSY_MS, Ordering::Relaxed);
     }
@@ -543,21 +546,21 @@
     }
 
     /// The directory of back ends was found to be too large for all nodes to read it themselves.
-    pub fn note_large_directory(&self) {
+    pub fn mark_directory_large(&self) {
         self.directory_is_large.store(true, Ordering::Relaxed);
     }
 
     /// Whether the log can give so many bytes to every node within [`SHARED_READ_TIME`].
-    pub fn can_all_read(&self, bytes: u64) -> bool {
-        self.can_all_read_within(bytes, SHARED_READ_TIME)
+    pub fn can_all_nodes_read(&self, bytes: u64) -> bool {
+        self.can_all_nodes_read_within(bytes, SHARED_READ_TIME)
     }
 
     /// Whether some node may find that the log cannot: each has its own estimate of how many there are.
-    pub fn some_may_not_read(&self, bytes: u64) -> bool {
-        !self.can_all_read_within(bytes, SHARED_READ_TIME / 2)
+    pub fn may_exceed_read_capacity(&self, bytes: u64) -> bool {
+        !self.can_all_nodes_read_within(bytes, SHARED_READ_TIME / 2)
     }
 
-    fn can_all_read_within(&self, bytes: u64, time: Duration) -> bool {
+    fn can_all_nodes_read_within(&self, bytes: u64, time: Duration) -> bool {
         let fleet_bytes = bytes as f64 * self.fleet_size() as f64;
         let bytes_per_s = self.settings.log.read_bytes_per_s();
         fleet_bytes <= bytes_per_s * time.as_secs_f64()
@@ -571,7 +574,7 @@
     }
 
     /// A directory was read to its end.
-    pub fn note_directory_read(&self, kind: DirectoryKind) {
+    pub fn record_directory_read(&self, kind: DirectoryKind) {
         if kind == DirectoryKind::Operators {
             let now = self.now();
             self.operators_read_at.fetch_max(now, Ordering::Relaxed);
@@ -591,19 +594,19 @@
     }
 
     /// The back ends have been listed.
-    pub fn note_backends_listed(&self) {
+    pub fn mark_backends_listed(&self) {
         self.backends_listed.send_replace(true);
     }
 
     /// The control stream was read to its end, for the first time or again.
-    pub fn note_control_read(&self) {
+    pub fn mark_control_read(&self) {
         self.control_read_at.get_or_init(Instant::now);
         self.control_read.send_replace(true);
     }
 
     /// Waits until the control stream was read to its end once. A node that has just started waits a moment
     /// only: where the log is away it passes calls on all the same.
-    pub async fn control_read_soon(&self) {
+    pub async fn wait_for_control_read(&self) {
         let mut control_read = self.control_read.subscribe();
         if *control_read.borrow_and_update() {
             return;
@@ -618,14 +621,14 @@
     }
 
     /// Waits until the back ends have been listed and routes are known.
-    pub async fn directories_known(&self) {
+    pub async fn wait_for_directories(&self) {
         // The sender lives as long as `self`.
         let _ = self
             .backends_listed
             .subscribe()
             .wait_for(|is_listed| *is_listed)
             .await;
-        while self.routes_soon().await.is_none() {}
+        while self.wait_for_routes().await.is_none() {}
     }
 
     /// A number that differs from call to call.
@@ -634,7 +637,7 @@
     }
 
     /// The log or a directory answered.
-    pub fn saw_contact(&self) {
+    pub fn record_contact(&self) {
         self.last_contact.fetch_max(self.now(), Ordering::Relaxed);
     }
 
--- a/crates/gateway/src/coordinator/demand.rs
+++ b/crates/gateway/src/coordinator/demand.rs
@@ -102,7 +102,7 @@
 
     pub(super) fn targets(&self, pool: &Pool, now: Millis) -> Vec<OrderTarget> {
         let running = self.context.occupied(|_| true);
-        self.context.note_observed_versions();
+        self.context.apply_observed_versions();
         let control = self.context.control.lock();
         let backends = self.context.backends.lock();
         let quiet_ms = self.context.settings.bounds.order_lease_ms + ORDER_ON_ITS_WAY_MS;
--- a/crates/gateway/src/coordinator/mod.rs
+++ b/crates/gateway/src/coordinator/mod.rs
@@ -232,7 +232,7 @@
             Some(report) => {
                 let mut backends = self.context.backends.lock();
                 for (model, version) in &report.models {
-                    backends.saw_version(&ended.backend, model, *version);
+                    backends.record_version(&ended.backend, model, *version);
                 }
                 drop(backends);
                 self.taken.insert(ended.backend, report.orders_taken);
--- a/crates/gateway/src/crash_guard.rs
+++ b/crates/gateway/src/crash_guard.rs
@@ -200,7 +200,7 @@
 pub(crate) fn tell_untold(context: &Context, request: &Fingerprint, id: &str) {
     let waiting = context.crash_guard.waiting.load(Ordering::Relaxed);
     let suspicion = suspicion(context, request);
-    metrics::untold_request_given_up();
+    metrics::unreported_request_given_up();
     info!(event = "request_given_up_as_its_ends_are_untold", request = id,
         content = request.to_string().as_str(), suspicion = format!("{suspicion:?}").as_str(),
         words_waiting = waiting, contact_age_ms = context.contact_age(); "");
@@ -216,7 +216,7 @@
         return;
     };
     drop(control);
-    metrics::barred_request_came();
+    metrics::barred_request_received();
     info!(event = "request_refused_as_barred", request = id, content = request.to_string().as_str(),
         ended = name_all(&ended).as_str(), last_end_age_ms = age_ms; "");
 }
@@ -451,7 +451,7 @@
             recipient = peer_notices::tell_an_end(&context, request, &ended) => {
                 info!(event = "end_told_to_peer", content = request.to_string().as_str(),
                     backend = ended.backend.as_str(), peer = recipient.to_string().as_str(); "");
-                metrics::crash_told("to_peer");
+                metrics::crash_reported("to_peer");
             }
         }
         context.crash_guard.told(&request, &ended.backend);
@@ -466,7 +466,7 @@
     if waiting.fetch_add(1, Ordering::Relaxed) >= MOST_WAITING {
         waiting.fetch_sub(1, Ordering::Relaxed);
         warn!(event = "crash_not_told", record = format!("{record:?}").as_str(), waiting = MOST_WAITING; "");
-        metrics::crash_told("dropped");
+        metrics::crash_reported("dropped");
         return None;
     }
     let (tell, told) = watch::channel(Told::NotYet);
@@ -476,10 +476,10 @@
             tell.send_replace(Told::LogFails);
             warn!(event = "crash_not_told_yet", record = format!("{record:?}").as_str(),
                 reason = error.to_string().as_str(); "");
-            metrics::crash_told("failed");
+            metrics::crash_reported("failed");
             tokio::time::sleep(TELL_AGAIN_PAUSE).await;
         }
-        metrics::crash_told("written");
+        metrics::crash_reported("written");
         context.crash_guard.waiting.fetch_sub(1, Ordering::Relaxed);
         tell.send_replace(Told::Written);
     });
--- a/crates/gateway/src/dependency.rs
+++ b/crates/gateway/src/dependency.rs
@@ -27,7 +27,7 @@
         }
     }
 
-    pub(crate) fn works(&mut self) {
+    pub(crate) fn record_success(&mut self) {
         if self.failures >= FAILURES_UNTIL_LOST {
             info!(event = "dependency_regained", dependency = self.name.as_str(),
                 failures = self.failures; "");
@@ -39,7 +39,7 @@
     /// asked too much, and not all nodes alike. `gap` is the usual time between two reads: that of a large fleet, whose
     /// failed calls together are as many as its usual ones.
     pub(crate) async fn pause_after(&mut self, error: LogError, gap: Duration) {
-        self.fails(error);
+        self.record_failure(error);
         let is_large_fleet = !gap.is_zero();
         let grows = error.is_throttled() || (is_large_fleet && error.is_overloaded());
         let doublings = match grows {
@@ -50,7 +50,7 @@
         tokio::time::sleep(pause.mul_f64(rand::random_range(0.5..1.5))).await;
     }
 
-    fn fails(&mut self, error: LogError) {
+    fn record_failure(&mut self, error: LogError) {
         self.failures += 1;
         if self.failures == FAILURES_UNTIL_LOST {
             warn!(event = "dependency_lost", dependency = self.name.as_str(),
--- a/crates/gateway/src/digest_reader.rs
+++ b/crates/gateway/src/digest_reader.rs
@@ -75,7 +75,7 @@
     }
     context.backends.replace(all, context.now());
     context.backends.set_listed_whole(false);
-    context.note_backends_listed();
+    context.mark_backends_listed();
     context.control_changed.notify_one();
 }
 
--- a/crates/gateway/src/digest_writer.rs
+++ b/crates/gateway/src/digest_writer.rs
@@ -65,7 +65,7 @@
 /// Whether some node may follow the digest.
 fn is_wanted(context: &Context) -> bool {
     let known = context.backends.lock().list.len() as u64;
-    context.directory_is_large() || context.some_may_not_read(known * ENTRY_BYTES)
+    context.directory_is_large() || context.may_exceed_read_capacity(known * ENTRY_BYTES)
 }
 
 struct DigestWriter<'a> {
@@ -113,7 +113,7 @@
             let read = directory.changes(kind, next, DIRECTORY_WAIT, READ_BYTES);
             match read.await {
                 Ok(page) => {
-                    self.dependency.works();
+                    self.dependency.record_success();
                     next = page.next;
                     self.take(page.entries);
                 }
@@ -123,7 +123,7 @@
                 },
                 Err(error) => {
                     self.dependency
-                        .pause_after(error, self.context.read_gap())
+                        .pause_after(error, self.context.read_interval())
                         .await
                 }
             }
@@ -140,7 +140,7 @@
             let kind = DirectoryKind::Backends;
             match self.context.directory.list(kind, after.as_deref()).await {
                 Ok(page) => {
-                    self.dependency.works();
+                    self.dependency.record_success();
                     let end = *first_end.get_or_insert(page.end);
                     apply_entries(&mut directory, page.entries);
                     after = page.more;
@@ -151,7 +151,7 @@
                 }
                 Err(error) => {
                     self.dependency
-                        .pause_after(error, self.context.read_gap())
+                        .pause_after(error, self.context.read_interval())
                         .await
                 }
             }
--- a/crates/gateway/src/directories.rs
+++ b/crates/gateway/src/directories.rs
@@ -38,7 +38,7 @@
 pub async fn follow_backends(context: Arc<Context>) {
     let mut follower = DirectoryFollower::new(context.clone(), DirectoryKind::Backends);
     if digest_reader::take_up(&context).await {
-        context.note_large_directory();
+        context.mark_directory_large();
         digest_reader::follow(&context).await;
         follower.follow_for_a_while().await;
     }
@@ -100,8 +100,8 @@
         let directory = context.directory.as_ref();
         match directory.changes(self.kind, from, wait, most_bytes).await {
             Ok(page) => {
-                self.dependency.works();
-                context.saw_contact();
+                self.dependency.record_success();
+                context.record_contact();
                 self.next = Some(page.next);
                 self.is_just_listed = false;
                 for entry in page.entries {
@@ -114,7 +114,7 @@
                     self.catch_up();
                     return;
                 }
-                context.note_directory_read(self.kind);
+                context.record_directory_read(self.kind);
                 tokio::time::sleep(directory_gap(&context)).await;
             }
             Err(error @ LogError::HistoryDropped { .. }) => {
@@ -122,13 +122,13 @@
                 // A listing that did not help is not repeated at once.
                 if self.is_just_listed {
                     self.dependency
-                        .pause_after(error, self.context.read_gap())
+                        .pause_after(error, self.context.read_interval())
                         .await;
                 }
             }
             Err(error) => {
                 self.dependency
-                    .pause_after(error, self.context.read_gap())
+                    .pause_after(error, self.context.read_interval())
                     .await
             }
         }
@@ -161,7 +161,7 @@
             let is_enough = self.context.directory_is_large() && listed.is_enough(&self.context);
             if is_whole || is_enough {
                 listed.take_up(&self.context, self.kind, is_whole);
-                self.context.note_directory_read(self.kind);
+                self.context.record_directory_read(self.kind);
                 self.context.control_changed.notify_one();
                 return end;
             }
@@ -171,8 +171,8 @@
     /// Notes if there are more entries than all nodes can read.
     fn look_at_size(&self, entries: u64) {
         let is_backends = self.kind == DirectoryKind::Backends;
-        if is_backends && !self.context.can_all_read(entries * ENTRY_BYTES) {
-            self.context.note_large_directory();
+        if is_backends && !self.context.can_all_nodes_read(entries * ENTRY_BYTES) {
+            self.context.mark_directory_large();
         }
     }
 
@@ -189,13 +189,13 @@
             let after = self.unlisted_after.as_deref();
             match self.context.directory.list(self.kind, after).await {
                 Ok(page) => {
-                    self.dependency.works();
-                    self.context.saw_contact();
+                    self.dependency.record_success();
+                    self.context.record_contact();
                     return page;
                 }
                 Err(error) => {
                     self.dependency
-                        .pause_after(error, self.context.read_gap())
+                        .pause_after(error, self.context.read_interval())
                         .await
                 }
             }
@@ -241,7 +241,7 @@
                 info!(event = "backends_listed", count = self.backends.len(), is_whole = is_whole; "");
                 context.backends.replace(self.backends, context.now());
                 context.backends.set_listed_whole(is_whole);
-                context.note_backends_listed();
+                context.mark_backends_listed();
             }
             DirectoryKind::Operators => {
                 let known = context.backends.lock().list.evacuated().clone();
@@ -276,7 +276,9 @@
             }
         }
         DirectoryEntry::NamedVersion { model, version } => {
-            if context.name_version(model.clone(), version) && tells_all(context, "version_named") {
+            if context.record_named_version(model.clone(), version)
+                && tells_all(context, "version_named")
+            {
                 info!(event = "version_named", model = model.as_str(), version = version; "");
             }
         }
@@ -317,7 +319,7 @@
 /// give orders, and by all where they are few. Others count it, so that the fleet's lines don't grow
 /// with nodes times changes.
 fn tells_all(context: &Context, change: &'static str) -> bool {
-    let tells = context.takes_part() || context.pace().read_interval_ms == 0;
+    let tells = context.is_participating() || context.pace().read_interval_ms == 0;
     if !tells {
         metrics::directory_changed(change);
     }
--- a/crates/gateway/src/engine/candidates.rs
+++ b/crates/gateway/src/engine/candidates.rs
@@ -40,7 +40,7 @@
     ) -> Vec<Candidate> {
         let own_node = &self.context.node;
         let elsewhere = self.context.occupied(|node| node != own_node);
-        let told_gaps_ms = self.context.told_gaps_ms(|node| node != own_node);
+        let reported_event_gaps_ms = self.context.reported_event_gaps_ms(|node| node != own_node);
         let tokens_elsewhere = self.tokens_elsewhere();
         let capacity = pool.and_then(|pool| pool.memory_tokens);
         let groups = self.groups_by_backend();
@@ -76,7 +76,11 @@
             }
             let versions = |model: &ModelName| (model.clone(), backends.version(id, model));
             let own_gap = backends.event_gap(id, now);
-            let gap_ms = expected_gap_ms(own_gap, told_gaps_ms.get(id).copied(), usual_gap_ms);
+            let gap_ms = expected_gap_ms(
+                own_gap,
+                reported_event_gaps_ms.get(id).copied(),
+                usual_gap_ms,
+            );
             let running =
                 own.get(id).copied().unwrap_or(0) + elsewhere.get(id).copied().unwrap_or(0);
             let allowance = match admission {
--- a/crates/gateway/src/engine/leases.rs
+++ b/crates/gateway/src/engine/leases.rs
@@ -69,7 +69,7 @@
             return;
         }
         if !work.held.is_empty() {
-            self.context.note_busy();
+            self.context.mark_busy();
         }
         self.tell_what_runs(&work.held, now);
         for batch in work.closed {
--- a/crates/gateway/src/engine/mod.rs
+++ b/crates/gateway/src/engine/mod.rs
@@ -158,7 +158,7 @@
                 let began = Instant::now();
                 self.follow_log();
                 self.follow_leases();
-                self.context.choose_what_to_follow();
+                self.context.choose_followed_partitions();
                 self.plan();
                 metrics::items_running(self.items.len());
                 self.pace.done(began);
--- a/crates/gateway/src/engine/reward.rs
+++ b/crates/gateway/src/engine/reward.rs
@@ -96,7 +96,7 @@
             pause: REWARD_PAUSE,
         };
     };
-    let share = context.share_of_places(pool);
+    let share = context.fair_slot_share(pool);
     let turn = context.reward_pace.turn(pool, share).await;
     let began = Instant::now();
     if !is_in_force(context, routes.as_deref()) {
--- a/crates/gateway/src/engine/run.rs
+++ b/crates/gateway/src/engine/run.rs
@@ -378,7 +378,7 @@
             if let Some(gap) = gaps.record_event(gap_ms) {
                 let now = context.now();
                 let mut backends = context.backends.lock();
-                backends.saw_event_gap(&backend.id, gap, now);
+                backends.record_event_gaps(&backend.id, gap, now);
             }
             let event = OutputEvent {
                 version: made_by,
--- a/crates/gateway/src/engine/runs.rs
+++ b/crates/gateway/src/engine/runs.rs
@@ -131,7 +131,7 @@
                     self.context
                         .backends
                         .lock()
-                        .saw_version(backend, &model, *version);
+                        .record_version(backend, &model, *version);
                     self.context.control_changed.notify_one();
                 }
             }
--- a/crates/gateway/src/engine/start.rs
+++ b/crates/gateway/src/engine/start.rs
@@ -38,7 +38,11 @@
             node: &self.context.node,
             owners: &owners,
         };
-        let Some(backend) = self.context.backends.take_for(backend_id, sender, now) else {
+        let Some(backend) = self
+            .context
+            .backends
+            .take_for_request(backend_id, sender, now)
+        else {
             return;
         };
         let Some(start) = self.prepare(key, now) else {
--- a/crates/gateway/src/followers.rs
+++ b/crates/gateway/src/followers.rs
@@ -34,7 +34,7 @@
         return;
     };
     // Calls need the directories only; where all nodes start at once, batches come after them.
-    context.directories_known().await;
+    context.wait_for_directories().await;
     let mut followers = JoinSet::new();
     loop {
         tokio::select! {
@@ -75,7 +75,7 @@
 pub async fn follow_occupancy(context: Arc<Context>) {
     let mut dependency = Dependency::new(context.occupancy.id.to_string());
     loop {
-        context.wait_until_it_takes_part().await;
+        context.wait_until_participating().await;
         read_once(&context, &context.occupancy, &mut dependency, 0).await;
     }
 }
@@ -96,12 +96,12 @@
         drop(turn);
         match confirmed {
             Ok(()) => {
-                dependency.works();
-                context.saw_contact();
+                dependency.record_success();
+                context.record_contact();
             }
             Err(error) => {
                 view.read_failed();
-                dependency.pause_after(error, context.read_gap()).await;
+                dependency.pause_after(error, context.read_interval()).await;
             }
         }
     }
@@ -180,10 +180,10 @@
     let mut dependency = Dependency::new(context.control.id.to_string());
     checkpoints::restore_control(&context).await;
     catch_up(&context, &context.control, &mut dependency).await;
-    context.note_control_read();
+    context.mark_control_read();
     let announcing = context.clone();
     tokio::spawn(async move { announce(&announcing).await });
-    context.note_observed_versions();
+    context.apply_observed_versions();
     loop {
         let gap_ms = if context.is_busy() {
             0
@@ -195,8 +195,8 @@
         {
             checkpoints::restore_control(&context).await;
         }
-        context.follow_fleet_size();
-        context.note_observed_versions();
+        context.adapt_read_timeout();
+        context.apply_observed_versions();
         crash_guard::tell_newly_barred(&context);
         context.work.notify_one();
     }
@@ -231,8 +231,8 @@
     let from = view.lock().next;
     match context.log.read(view.id, from, wait).await {
         Ok(page) => {
-            dependency.works();
-            context.saw_contact();
+            dependency.record_success();
+            context.record_contact();
             let outcome = view.take_page(page, asked, context.now());
             if outcome.unreadable > 0 {
                 warn!(event = "records_unreadable", dependency = dependency.name.as_str(),
@@ -247,7 +247,7 @@
         }
         Err(error) => {
             view.read_failed();
-            dependency.pause_after(error, context.read_gap()).await;
+            dependency.pause_after(error, context.read_interval()).await;
             ReadOutcome::Failed
         }
     }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -166,17 +166,17 @@
 }
 
 /// A request came that must not be sent any more.
-pub fn barred_request_came() {
+pub fn barred_request_received() {
     counter!("gateway_barred_requests_total").increment(1);
 }
 
 /// A request was given up as the ends under it could not be told to other nodes.
-pub fn untold_request_given_up() {
+pub fn unreported_request_given_up() {
     counter!("gateway_untold_requests_total").increment(1);
 }
 
 /// A word for the other nodes about a request or a back end was written, failed or was dropped.
-pub fn crash_told(outcome: &'static str) {
+pub fn crash_reported(outcome: &'static str) {
     counter!("gateway_crash_words_total", "outcome" => outcome).increment(1);
 }
 
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -202,7 +202,7 @@
     if let Some(call) = context.dialect.batch_call(&head.method, &head.uri) {
         return handle_batch_call(context, &head, call, began).await;
     }
-    let Some(table) = context.routes_soon().await else {
+    let Some(table) = context.wait_for_routes().await else {
         info!(event = "no_configuration", request = request_id(context, &head).as_str(),
             contact_age_ms = context.contact_age(), status = 503u16; "");
         return refuse(StatusCode::SERVICE_UNAVAILABLE, COME_BACK);
@@ -275,7 +275,7 @@
     body: Bytes,
     began: Instant,
 ) -> Response<Body> {
-    context.control_read_soon().await;
+    context.wait_for_control_read().await;
     let names = context.dialect.headers();
     let wait = header_ms(&head.headers, &names.deadline_ms).unwrap_or(DEFAULT_DEADLINE);
     let mut headers = head.headers;
--- a/crates/gateway/tests/backend_digest.rs
+++ b/crates/gateway/tests/backend_digest.rs
@@ -21,7 +21,7 @@
 
 async fn start(deployment: &Deployment, name: &str, faults: LogFaults) -> TestNode {
     let log = NodeLog::with_faults(&deployment.log, faults);
-    TestNode::start_so(log, scarce(name)).await
+    TestNode::start_with_settings(log, scarce(name)).await
 }
 
 fn ready(node: &TestNode) -> usize {
--- a/crates/gateway/tests/batches.rs
+++ b/crates/gateway/tests/batches.rs
@@ -231,7 +231,7 @@
         node.context()
             .backends
             .lock()
-            .saw_version(&id.into(), &"model".into(), 2);
+            .record_version(&id.into(), &"model".into(), 2);
     }
     let lines = wait_for_results(node.callers, "batch", ITEMS.len()).await;
     assert_all_whole(&lines);
--- a/crates/gateway/tests/callers_that_leave.rs
+++ b/crates/gateway/tests/callers_that_leave.rs
@@ -244,7 +244,7 @@
     let unknown = request("/unknown/path", "before", "");
     kept.write_all(unknown.as_bytes()).await.unwrap();
     assert!(kept.read(&mut [0; 4_096]).await.unwrap() > 0);
-    node.hold(Duration::from_millis(400)).await;
+    node.block_thread(Duration::from_millis(400)).await;
     for path in CALLS.iter().chain(&STREAMS) {
         drop(send_bytes(&node, &request(path, "left", "")).await);
         let two = request(path, "left", "") + &request(path, "next", "");
--- a/crates/gateway/tests/calls.rs
+++ b/crates/gateway/tests/calls.rs
@@ -124,8 +124,8 @@
         ..LogFaults::default()
     };
     let log = NodeLog::with_faults(&deployment.log, faults);
-    let node = TestNode::start_with(log, "a").await;
-    node.knows(6).await;
+    let node = TestNode::start_with_log(log, "a").await;
+    node.wait_until_known(6).await;
     assert_eq!(call(node.callers, "call", "/calls/path").await.status, 200);
 }
 
--- a/crates/gateway/tests/crashing_requests.rs
+++ b/crates/gateway/tests/crashing_requests.rs
@@ -78,7 +78,7 @@
         next_lives.push(next);
     }
     end_by_harmful(&next_lives);
-    node.knows(6).await;
+    node.wait_until_known(6).await;
     for number in 0..5 {
         ask(&node, &format!("next-{number}"), "/calls/harmful").await;
     }
@@ -229,7 +229,7 @@
     let deployment = Deployment::start(0, 8).await;
     end_by_harmful(&deployment.applications);
     let nodes = nodes(&deployment, &["a", "b"]).await;
-    nodes[0].knows_addresses(nodes.len()).await;
+    nodes[0].wait_until_addresses_known(nodes.len()).await;
     nodes[0].set_faults(LogFaults {
         is_cut: true,
         ..LogFaults::default()
--- a/crates/gateway/tests/keys.rs
+++ b/crates/gateway/tests/keys.rs
@@ -248,7 +248,7 @@
         refuses_listings: true,
         ..LogFaults::default()
     });
-    let fresh = TestNode::start_with(log, "b").await;
+    let fresh = TestNode::start_with_log(log, "b").await;
     for path in ["/results/batch?from=0", "/results/batch?item=i1"] {
         for key in ["k1", "none"] {
             let (status, _) = on_batch(&fresh, Method::GET, path, key).await;
--- a/crates/gateway/tests/knowledge_age.rs
+++ b/crates/gateway/tests/knowledge_age.rs
@@ -95,7 +95,7 @@
     assert!(application.seen().len() > seen_before, "calls are made");
     let latest = stopped + share_of_in_force(&node, WRITE_SHARE);
     let stands_still = latest + ON_ITS_WAY - Instant::now();
-    node.hold(stands_still).await;
+    node.block_thread(stands_still).await;
     tokio::time::sleep(stands_still + ON_ITS_WAY).await;
     let last = application.seen().last().map(|seen| seen.at).unwrap();
     assert!(last < latest, "{:?} too late", last - latest);
--- a/crates/gateway/tests/metering.rs
+++ b/crates/gateway/tests/metering.rs
@@ -67,9 +67,13 @@
 
     async fn node(&self, name: &str) -> TestNode {
         let log = NodeLog::new(&self.deployment.log);
-        let node =
-            TestNode::start_beside(log, metered_settings(name), Some(self.platform.clone())).await;
-        node.knows(3).await;
+        let node = TestNode::start_with_operations(
+            log,
+            metered_settings(name),
+            Some(self.platform.clone()),
+        )
+        .await;
+        node.wait_until_known(3).await;
         // Before its tenants are known, calls are nobody's.
         wait_until("tenants are known", || {
             let table = node.context().routes();
@@ -265,8 +269,9 @@
         let time = TimeOfDay::start();
         let into_window = time.now() % 300;
         tokio::time::sleep(Duration::from_millis(300 + 250 - into_window)).await;
-        let node = TestNode::start_beside(log, settings, Some(metered.platform.clone())).await;
-        node.knows(3).await;
+        let node =
+            TestNode::start_with_operations(log, settings, Some(metered.platform.clone())).await;
+        node.wait_until_known(3).await;
         wait_until("tenants are known", || {
             let table = node.context().routes();
             table.is_some_and(|table| table.version() == 2)
--- a/crates/gateway/tests/missed_ends.rs
+++ b/crates/gateway/tests/missed_ends.rs
@@ -139,7 +139,7 @@
         call(address, "harmful", "/calls/harmful").await;
     });
     wait_until("it runs", || !former.seen().is_empty()).await;
-    node.hold(Duration::from_millis(600)).await;
+    node.block_thread(Duration::from_millis(600)).await;
     wait_until("the address is free", || {
         former.has_ended() && std::net::TcpListener::bind(former.address).is_ok()
     })
@@ -298,8 +298,8 @@
         delay > 2 * FIRST_SECONDS
     });
     let name = late.nth(number).expect("one of endless names");
-    let node = TestNode::start_so(NodeLog::new(&deployment.log), settings(&name)).await;
-    node.knows(deployment.applications.len()).await;
+    let node = TestNode::start_with_settings(NodeLog::new(&deployment.log), settings(&name)).await;
+    node.wait_until_known(deployment.applications.len()).await;
     node
 }
 
--- a/crates/gateway/tests/peers.rs
+++ b/crates/gateway/tests/peers.rs
@@ -111,7 +111,7 @@
 #[tokio::test]
 async fn a_silent_owner_costs_a_short_while_and_is_then_left_alone() {
     let (_deployment, owner, reader) = owner_and_reader(NEVER).await;
-    owner.hold(Duration::from_secs(4)).await;
+    owner.block_thread(Duration::from_secs(4)).await;
     for _ in 0..2 {
         let began = Instant::now();
         assert_eq!(results(reader.callers, "batch", 0).await, (200, Vec::new()));
@@ -296,8 +296,8 @@
     settings.regions = [("zone", "north"), ("far", "south")]
         .map(|(zone, region)| (zone.to_owned(), region.to_owned()))
         .into();
-    let owner = TestNode::start_so(NodeLog::new(&deployment.log), settings).await;
-    owner.knows(1).await;
+    let owner = TestNode::start_with_settings(NodeLog::new(&deployment.log), settings).await;
+    owner.wait_until_known(1).await;
     own(&owner, "batch", &batch()).await;
     let near = request(&owner, "batch", results_from(0, 0));
     assert!(matches!(
--- a/crates/gateway/tests/places.rs
+++ b/crates/gateway/tests/places.rs
@@ -130,8 +130,8 @@
     settings.regions = [("zone", "west"), ("other", "east")]
         .map(|(zone, region)| (zone.to_owned(), region.to_owned()))
         .into();
-    let node = TestNode::start_so(NodeLog::new(&deployment.log), settings).await;
-    node.knows(deployment.engines.len() + deployment.applications.len())
+    let node = TestNode::start_with_settings(NodeLog::new(&deployment.log), settings).await;
+    node.wait_until_known(deployment.engines.len() + deployment.applications.len())
         .await;
     node
 }
--- a/crates/gateway/tests/reading_after_restart.rs
+++ b/crates/gateway/tests/reading_after_restart.rs
@@ -65,7 +65,7 @@
     let mut nodes = Vec::new();
     for at in 0..NODES {
         let log = NodeLog::with_faults(&deployment.log, faults);
-        nodes.push(TestNode::start_with(log, &format!("{life}-{at}")).await);
+        nodes.push(TestNode::start_with_log(log, &format!("{life}-{at}")).await);
     }
     nodes
 }
@@ -161,7 +161,7 @@
     slow_down(&deployment.engines);
     let mut nodes = start_nodes(&deployment, LogFaults::default(), "first").await;
     for node in &nodes {
-        node.knows(3).await;
+        node.wait_until_known(3).await;
     }
     let known = run_and_end(&nodes).await;
     let partitions: Vec<StreamPartition> = known
@@ -348,8 +348,8 @@
 async fn forgetful_node(deployment: &Deployment, name: &str) -> TestNode {
     let mut settings = settings(name);
     settings.bounds.retention_s = 0.0;
-    let node = TestNode::start_so(NodeLog::new(&deployment.log), settings).await;
-    node.knows(2).await;
+    let node = TestNode::start_with_settings(NodeLog::new(&deployment.log), settings).await;
+    node.wait_until_known(2).await;
     node
 }
 
@@ -373,7 +373,7 @@
         .context()
         .backends
         .lock()
-        .saw_version(&"engine-0".into(), &"model".into(), 2);
+        .record_version(&"engine-0".into(), &"model".into(), 2);
     let lines = wait_for_results(owner.callers, "batch", 1).await;
     assert_eq!(wait_for_results(other.callers, "batch", 1).await, lines);
     let runs = deployment.engines[0].runs();
--- a/crates/gateway/tests/reborn.rs
+++ b/crates/gateway/tests/reborn.rs
@@ -40,7 +40,7 @@
     let backend = StandInBackend::start("application").await;
     let log = &deployment.log;
     log.write_backends(life(&backend, APPLICATIONS, 100));
-    let node = deployment.node_that_knows("a", 1).await;
+    let node = deployment.node_with_known_backends("a", 1).await;
     assert_eq!(call(node.callers, "one", "/calls/a").await.status, 200);
     assert_eq!(backend.seen()[0].header("x-expected"), Some("application"));
     let next = StandInBackend::start("application").await;
@@ -59,7 +59,7 @@
     let engine = StandInBackend::start("engine").await;
     let log = &deployment.log;
     log.write_backends(life(&engine, ENGINES, 100));
-    let node = deployment.node_that_knows("a", 1).await;
+    let node = deployment.node_with_known_backends("a", 1).await;
     let model = ModelName::from("model");
     log.write_operators(DirectoryEntry::NamedVersion { model, version: 2 });
     wait_until("the version is loaded", || engine.orders().len() == 1).await;
@@ -83,12 +83,12 @@
     )));
     let spoilt = BackendName::from(deployment.applications[0].id.as_str());
     log.write_backends(DirectoryEntry::UnreadableBackend(spoilt));
-    node.knows(2).await;
+    node.wait_until_known(2).await;
     for id in ["one", "two", "three"] {
         assert_eq!(call(node.callers, id, "/calls/a").await.status, 200);
     }
     assert_eq!(deployment.applications[1].seen().len(), 3);
-    let fresh = deployment.node_that_knows("b", 2).await;
+    let fresh = deployment.node_with_known_backends("b", 2).await;
     assert_eq!(call(fresh.callers, "four", "/calls/a").await.status, 200);
     assert_eq!(deployment.applications[1].seen().len(), 4);
 }
@@ -102,7 +102,7 @@
     deployment
         .log
         .write_backends(life(&backend, APPLICATIONS, 100));
-    let node = deployment.node_that_knows("a", 1).await;
+    let node = deployment.node_with_known_backends("a", 1).await;
     end_by_harmful(std::slice::from_ref(&backend));
     call(node.callers, "harmful", "/calls/harmful").await;
     wait_until("the end is known", || known_ends(&node) == 1).await;
--- a/crates/gateway/tests/refusals.rs
+++ b/crates/gateway/tests/refusals.rs
@@ -132,7 +132,7 @@
         throttles_listings: true,
         ..LogFaults::default()
     };
-    let node = TestNode::start_with(NodeLog::with_faults(&log, faults), "a").await;
+    let node = TestNode::start_with_log(NodeLog::with_faults(&log, faults), "a").await;
     wait_until("the node knows the routes", || {
         node.context().routes().is_some()
     })
--- a/crates/gateway/tests/reward_pace.rs
+++ b/crates/gateway/tests/reward_pace.rs
@@ -143,7 +143,7 @@
     let log = &deployment.log;
     log.write_backends(listed(&quick, QUICK_POOL, false));
     log.write_operators(DirectoryEntry::Routing(routing_with_quick_pool()));
-    let node = deployment.node_that_knows("a", 22).await;
+    let node = deployment.node_with_known_backends("a", 22).await;
     let body = write_batch(1, &items(&item_ids("slow")), true);
     assert_eq!(submit(node.callers, "slow", &body).await, 202);
     wait_until("the slow pool is full", || slow.seen().len() >= 4).await;
--- a/crates/gateway/tests/silence.rs
+++ b/crates/gateway/tests/silence.rs
@@ -66,7 +66,7 @@
         backends.push(backend);
     }
     let node = TestNode::start(&deployment.log, "a").await;
-    node.knows(count).await;
+    node.wait_until_known(count).await;
     (backends, proxies, node)
 }
 
--- a/crates/gateway/tests/sizing.rs
+++ b/crates/gateway/tests/sizing.rs
@@ -45,8 +45,8 @@
 
 async fn start(deployment: &Deployment, platform: &Arc<StandInOperations>, name: &str) -> TestNode {
     let log = NodeLog::new(&deployment.log);
-    let node = TestNode::start_beside(log, sized(name), Some(platform.clone())).await;
-    node.knows(2).await;
+    let node = TestNode::start_with_operations(log, sized(name), Some(platform.clone())).await;
+    node.wait_until_known(2).await;
     node
 }
 
--- a/crates/gateway/tests/slow_readers.rs
+++ b/crates/gateway/tests/slow_readers.rs
@@ -25,8 +25,8 @@
     let mut settings = settings("a");
     settings.memory_mb = MEMORY_MB;
     settings.log.call_bytes = 4_000_000;
-    let node = TestNode::start_so(NodeLog::new(&deployment.log), settings).await;
-    node.knows(deployment.engines.len()).await;
+    let node = TestNode::start_with_settings(NodeLog::new(&deployment.log), settings).await;
+    node.wait_until_known(deployment.engines.len()).await;
     for engine in &deployment.engines {
         engine.behave(|told| told.event_padding = PADDING);
     }
--- a/crates/gateway/tests/stalled_runs.rs
+++ b/crates/gateway/tests/stalled_runs.rs
@@ -54,7 +54,7 @@
             engines.push(engine);
         }
         let node = TestNode::start(&deployment.log, "a").await;
-        node.knows(ENGINE_COUNT).await;
+        node.wait_until_known(ENGINE_COUNT).await;
         let running = Self {
             deployment,
             engines,
@@ -170,7 +170,10 @@
 #[tokio::test]
 async fn a_node_that_stood_still_moves_nothing() {
     let running = Running::start().await;
-    running.node.hold(Duration::from_millis(1_500)).await;
+    running
+        .node
+        .block_thread(Duration::from_millis(1_500))
+        .await;
     running.ends_whole().await;
     assert_eq!(running.sent_again(), HashMap::new());
 }
--- a/crates/gateway/tests/support/deployment.rs
+++ b/crates/gateway/tests/support/deployment.rs
@@ -39,19 +39,19 @@
 
 impl TestNode {
     pub async fn start(shared: &Arc<MemoryLog>, name: &str) -> Self {
-        Self::start_with(NodeLog::new(shared), name).await
+        Self::start_with_log(NodeLog::new(shared), name).await
     }
 
-    pub async fn start_with(log: Arc<NodeLog>, name: &str) -> Self {
-        Self::start_so(log, settings(name)).await
+    pub async fn start_with_log(log: Arc<NodeLog>, name: &str) -> Self {
+        Self::start_with_settings(log, settings(name)).await
     }
 
-    pub async fn start_so(log: Arc<NodeLog>, settings: Settings) -> Self {
-        Self::start_beside(log, settings, None).await
+    pub async fn start_with_settings(log: Arc<NodeLog>, settings: Settings) -> Self {
+        Self::start_with_operations(log, settings, None).await
     }
 
     /// Starts a node beside an interface for operations.
-    pub async fn start_beside(
+    pub async fn start_with_operations(
         log: Arc<NodeLog>,
         settings: Settings,
         platform: Option<Arc<StandInOperations>>,
@@ -92,7 +92,7 @@
     }
 
     /// Keeps the node's only processor busy for so long, from before this returns.
-    pub async fn hold(&self, time: Duration) {
+    pub async fn block_thread(&self, time: Duration) {
         let (begins, begun) = tokio::sync::oneshot::channel();
         let runtime = self.runtime.as_ref().expect("the node runs");
         runtime.spawn(async move {
@@ -105,11 +105,12 @@
     /// The node's machine was suspended for so long, by the time this returns: its steady clock shows nothing
     /// of it.
     pub async fn suspend(&self, time: Duration) {
-        self.on_its_thread(move || suspend_this_thread(time)).await;
+        self.run_on_node_thread(move || suspend_this_thread(time))
+            .await;
     }
 
     /// Does something on the one thread on which the node's tasks run.
-    pub async fn on_its_thread<T: Send + 'static>(
+    pub async fn run_on_node_thread<T: Send + 'static>(
         &self,
         work: impl FnOnce() -> T + Send + 'static,
     ) -> T {
@@ -136,7 +137,7 @@
     }
 
     /// Waits until the node knows where so many machines can be reached.
-    pub async fn knows_addresses(&self, machines: usize) {
+    pub async fn wait_until_addresses_known(&self, machines: usize) {
         wait_until("the node knows the others' addresses", || {
             let control = self.context().control.lock();
             control.state.reachable().checkpoint().len() == machines
@@ -145,7 +146,7 @@
     }
 
     /// Waits until the node knows the routes and so many back ends.
-    pub async fn knows(&self, backends: usize) {
+    pub async fn wait_until_known(&self, backends: usize) {
         wait_until("the node knows its surroundings", || {
             let context = self.context();
             context.routes().is_some() && context.backends.lock().list.len() == backends
@@ -367,14 +368,14 @@
     }
 
     pub async fn node(&self, name: &str) -> TestNode {
-        self.node_that_knows(name, self.engines.len() + self.applications.len())
+        self.node_with_known_backends(name, self.engines.len() + self.applications.len())
             .await
     }
 
     /// A node, once it knows so many back ends.
-    pub async fn node_that_knows(&self, name: &str, backends: usize) -> TestNode {
+    pub async fn node_with_known_backends(&self, name: &str, backends: usize) -> TestNode {
         let node = TestNode::start(&self.log, name).await;
-        node.knows(backends).await;
+        node.wait_until_known(backends).await;
         node
     }
 }
--- a/crates/gateway/tests/support/peers.rs
+++ b/crates/gateway/tests/support/peers.rs
@@ -28,9 +28,9 @@
 /// A node that answers others, once it knows all back ends.
 pub async fn peer_node(deployment: &Deployment, name: &str) -> TestNode {
     let log = NodeLog::new(&deployment.log);
-    let node = TestNode::start_so(log, peer_settings(name)).await;
+    let node = TestNode::start_with_settings(log, peer_settings(name)).await;
     let backends = deployment.engines.len() + deployment.applications.len();
-    node.knows(backends).await;
+    node.wait_until_known(backends).await;
     node
 }
 
--- a/crates/gateway/tests/suspended.rs
+++ b/crates/gateway/tests/suspended.rs
@@ -35,7 +35,7 @@
     wait_until("it runs", || deployment.engines[0].runs().len() == 2).await;
     let context = node.context().clone();
     let (before, after) = node
-        .on_its_thread(move || {
+        .run_on_node_thread(move || {
             let look = || (context.write_by(&"batch".into()).is_some(), context.now());
             let before = look();
             suspension::suspend_this_thread(SUSPENDED);
@@ -137,8 +137,8 @@
     let start = async |name| {
         let mut settings = settings(name);
         settings.bounds.order_lease_ms = ORDER_LEASE.as_millis() as u64;
-        let node = TestNode::start_so(NodeLog::new(&deployment.log), settings).await;
-        node.knows(1).await;
+        let node = TestNode::start_with_settings(NodeLog::new(&deployment.log), settings).await;
+        node.wait_until_known(1).await;
         node
     };
     let first = start("a").await;
--- a/crates/gateway/tests/told_speeds.rs
+++ b/crates/gateway/tests/told_speeds.rs
@@ -27,7 +27,7 @@
 /// Whether a node knows from others how slow the slow engine is, and how quick another.
 fn is_told(node: &TestNode) -> bool {
     let own = &node.context().node;
-    let told = node.context().told_gaps_ms(|other| other != own);
+    let told = node.context().reported_event_gaps_ms(|other| other != own);
     let gap_ms = |engine: &str| told.get(&BackendId::from(engine)).copied();
     gap_ms("engine-0").is_some_and(|gap_ms| gap_ms > 100.0)
         && gap_ms("engine-1").is_some_and(|gap_ms| gap_ms < 70.0)
