--- a/crates/gateway/src/engine/run.rs
+++ b/crates/gateway/src/engine/run.rs
@@ -187,7 +187,7 @@
     match end {
         RunEnd::Whole | RunEnd::Failed | RunEnd::Impossible => {
             let is_success = *end == RunEnd::Whole;
-            crash_guard::answered(context, &backend.id, is_success, request);
+            crash_guard::record_answer(context, &backend.id, is_success, request);
         }
         RunEnd::Broken | RunEnd::Stalled if events < EVENTS_OF_A_SOUND_RUN => {
             let broken = UnansweredSend {
@@ -197,7 +197,7 @@
                 link: backend.link.clone(),
                 slot: None,
             };
-            crash_evidence::send_broke(context, broken).await;
+            crash_evidence::check_broken_send(context, broken).await;
         }
         RunEnd::Broken
         | RunEnd::Stalled
@@ -221,7 +221,7 @@
     };
     let sending = Sending::within(HEAD_TIMEOUT)
         .written_by(order.write_by)
-        .patient_for(send::HEAD_PATIENCE)
+        .patient_for(send::HEAD_SILENCE_TIMEOUT)
         .ended_when_silent();
     let answer = match backend.link.send_as(request.clone(), sending).await {
         // Closed with a reset, which cancels what may have begun; the rest of the connections is closed
@@ -280,7 +280,7 @@
         headers.insert(name, HeaderValue::from_str(&header.value).ok()?);
     }
     send::remove_connection_headers(headers);
-    access::name_tenant(names, headers, order.tenant.as_ref());
+    access::set_tenant_header(names, headers, order.tenant.as_ref());
     headers.insert(HOST, HeaderValue::from_str(&order.host).ok()?);
     let id = HeaderValue::from_str(order.key.item.as_str()).ok()?;
     headers.insert(names.request_id.clone(), id);
