--- a/crates/gateway/src/engine/claim.rs
+++ b/crates/gateway/src/engine/claim.rs
@@ -1,4 +1,4 @@
-//! Takes over a batch whose owner is silent, gone, or gave it up.
+//! Claims the lease of a batch whose owner sends no heartbeats, has left, or released it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,70 +10,74 @@
 use log::{info, warn};
 use tokio::sync::mpsc::UnboundedSender;
 
-use super::TaskEnded;
+use super::TaskEnd;
 use super::leases::is_claimable;
 use crate::claim_timing::claim_timing;
 use crate::context::Context;
 use crate::edge::LogError;
 use crate::log_writes::append;
 
-/// What came of a claim.
+/// Result of an attempt to claim a batch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimOutcome {
     /// This node holds the lease.
     Claimed,
-    /// Nothing is left to be done about the batch.
+    /// The batch is closed: it ended, or all its results are in the log.
     Closed,
-    /// Another node has claimed it, though it has not said so to all yet.
+    /// Another node holds the lease, though the index does not name that node yet.
     HeldBy(NodeId),
-    /// It could not be claimed; not before a while has passed.
-    NotNow,
+    /// The claim failed, or its conditions are not met. It may be tried again after a pause.
+    RetryLater,
 }
 
-/// What a batch's partition, read to its end, says to a claim.
-enum Standing {
-    /// It may be claimed under the next term.
-    Claimable { term: Term, former: Option<NodeId> },
-    /// Nothing is left to be done.
+/// Whether a batch can be claimed, by the state of its partition, which has been read to its end.
+enum ClaimCheck {
+    /// It can be claimed under the term after `term`; `former` is the holder until then.
+    Claimable {
+        term: Term,
+        former: Option<NodeId>,
+    },
     Closed,
-    /// Another node claimed it.
     HeldBy(NodeId),
-    /// The batch is not there, or records of it were missed.
+    /// Not known: the state of the partition lacks the batch, for instance because records were missed. Also
+    /// used if the batch may not be kept in this node's region.
     Unknown,
 }
 
-/// When this node may claim a batch, by what the index tells of its owner.
-pub(super) fn timing_of(context: &Context, batch: &IndexedBatch) -> ClaimTiming {
+/// Delays after which this node may claim a batch. They depend on the owner that the index names, so that
+/// not all nodes claim it at once.
+pub(super) fn batch_claim_timing(context: &Context, batch: &IndexedBatch) -> ClaimTiming {
     let owner = batch.owner.holder().map(ToString::to_string);
     let owner = owner.unwrap_or_default();
     let claim = format!("{} {} {owner}", context.node, batch.notice.batch);
     claim_timing(context, &claim)
 }
 
-/// Claims a batch, and tells the engine what came of it. `silent` is a node that was found to hold the
-/// lease at an earlier try, and has not said since that it runs the batch.
+/// Claims a batch and sends the result to the engine. `silent_holder` is a node that held the lease at an
+/// earlier attempt and has not announced since then that it runs the batch.
 pub(super) async fn claim(
     context: Arc<Context>,
     batch: BatchId,
-    silent: Option<NodeId>,
-    sender: UnboundedSender<TaskEnded>,
+    silent_holder: Option<NodeId>,
+    sender: UnboundedSender<TaskEnd>,
 ) {
-    let claimed = claim_once(&context, &batch, silent.as_ref()).await;
+    let claimed = claim_once(&context, &batch, silent_holder.as_ref()).await;
     let outcome = claimed.unwrap_or_else(|error| {
         warn!(event = "claim_failed", batch = batch.as_str(),
             reason = error.to_string().as_str(); "");
-        ClaimOutcome::NotNow
+        ClaimOutcome::RetryLater
     });
     // The engine is gone only when the process ends.
-    let _ = sender.send(TaskEnded::Claim { batch, outcome });
+    let _ = sender.send(TaskEnd::Claim { batch, outcome });
 }
 
-/// Claims a batch if the index, read to its end, still shows no sign of its owner, and the batch's
-/// partition no other claim. Whether the claim counts is seen in the partition.
+/// Reads the index and the batch's partition to their ends, and claims the batch if its owner is still
+/// silent in the index and the partition holds no other claim. Reads the partition again afterwards, since
+/// only that shows whether the claim counts: another node may have claimed the batch first.
 async fn claim_once(
     context: &Context,
     batch: &BatchId,
-    silent: Option<&NodeId>,
+    silent_holder: Option<&NodeId>,
 ) -> Result<ClaimOutcome, LogError> {
     let (log, clock) = (context.log.as_ref(), context.clock);
     let confirmed = context.control.confirm(log, clock, Duration::ZERO).await;
@@ -82,15 +86,15 @@
         return Err(error);
     }
     let Some(indexed) = still_claimable(context, batch) else {
-        return Ok(ClaimOutcome::NotNow);
+        return Ok(ClaimOutcome::RetryLater);
     };
     let view = context.partition_of(batch);
     view.confirm(log, clock, Duration::ZERO).await?;
-    let (term, former) = match standing(context, &indexed, silent) {
-        Standing::Claimable { term, former } => (term, former),
-        Standing::Closed => return Ok(ClaimOutcome::Closed),
-        Standing::HeldBy(node) => return Ok(ClaimOutcome::HeldBy(node)),
-        Standing::Unknown => return Ok(ClaimOutcome::NotNow),
+    let (term, former) = match check_claim(context, &indexed, silent_holder) {
+        ClaimCheck::Claimable { term, former } => (term, former),
+        ClaimCheck::Closed => return Ok(ClaimOutcome::Closed),
+        ClaimCheck::HeldBy(node) => return Ok(ClaimOutcome::HeldBy(node)),
+        ClaimCheck::Unknown => return Ok(ClaimOutcome::RetryLater),
     };
     let record = BatchRecord::Claimed {
         batch: batch.clone(),
@@ -105,7 +109,7 @@
     view.confirm(log, clock, Duration::ZERO).await?;
     match context.holds(batch) {
         true => Ok(ClaimOutcome::Claimed),
-        false => Ok(ClaimOutcome::NotNow),
+        false => Ok(ClaimOutcome::RetryLater),
     }
 }
 
@@ -118,28 +122,32 @@
     is_claimable(context, &indexed, readable_since, now).then_some(indexed)
 }
 
-fn standing(context: &Context, indexed: &IndexedBatch, silent: Option<&NodeId>) -> Standing {
+fn check_claim(
+    context: &Context,
+    indexed: &IndexedBatch,
+    silent_holder: Option<&NodeId>,
+) -> ClaimCheck {
     let inner = context.partition_of(&indexed.notice.batch).lock();
     let Some(state) = inner.state.batch(&indexed.notice.batch) else {
-        return Standing::Unknown;
+        return ClaimCheck::Unknown;
     };
     if state.is_closed() {
-        return Standing::Closed;
+        return ClaimCheck::Closed;
     }
-    // Its tenant is known only now.
+    // The index does not hold the tenant, so its residency rule is checked here.
     let residency = context.batch_residency(&state.host, &state.path, state.tenant.as_ref());
     if !residency.allows(context.own_region().as_ref()) {
-        return Standing::Unknown;
+        return ClaimCheck::Unknown;
     }
-    // A node that holds the lease and that the index does not name has claimed it only now, or died
-    // before it could say so.
+    // If the index does not name the holder of the lease, the holder has claimed the batch just now, or it
+    // died before it could announce it.
     let named = indexed.owner.holder();
-    let rival = state.lease.holder().filter(|holder| {
-        Some(*holder) != named && Some(*holder) != silent && **holder != context.node
+    let other_holder = state.lease.holder().filter(|holder| {
+        Some(*holder) != named && Some(*holder) != silent_holder && **holder != context.node
     });
-    match rival {
-        Some(rival) => Standing::HeldBy(rival.clone()),
-        None => Standing::Claimable {
+    match other_holder {
+        Some(other_holder) => ClaimCheck::HeldBy(other_holder.clone()),
+        None => ClaimCheck::Claimable {
             term: state.lease.term(),
             former: state.lease.holder().cloned(),
         },
