--- a/crates/gateway/src/access.rs
+++ b/crates/gateway/src/access.rs
@@ -1,4 +1,4 @@
-//! Callers' keys at the edge of a node: whose request it is, and what back ends are told of that.
+//! Authentication of callers by API key, and the tenant header that back ends receive.
 
 use havenstage_rollout::access::{Caller, Denied};
 use havenstage_rollout::ids::TenantName;
@@ -14,7 +14,7 @@
 use crate::request_head::request_host;
 use crate::responses::{Body, empty_response};
 
-/// Who makes a request on a route. That it is turned away is told.
+/// Authenticates the caller of a request on a route. A denied request is logged and counted.
 pub(crate) fn admit(
     context: &Context,
     table: &RouteTable,
@@ -22,26 +22,27 @@
     head: &Parts,
 ) -> Result<Caller, Denied> {
     let caller = presented_key(context, head).and_then(|key| table.admit(route, key));
-    caller.inspect_err(|denied| tell_denied(context, table, head, *denied))
+    caller.inspect_err(|denied| record_denial(context, table, head, *denied))
 }
 
-/// Who makes a call on a batch that was handed in; that it is turned away is told. Before a configuration is known,
-/// batches that belong to no tenant are still there for everybody.
+/// Authenticates the caller of a request on a submitted batch. A denied request is logged and counted. While no
+/// configuration is known, the caller is unverified and reaches only batches without a tenant.
 pub(crate) async fn admit_to_batches(context: &Context, head: &Parts) -> Result<Caller, Denied> {
     let Some(table) = context.routes_soon().await else {
         return Ok(Caller::Unverified);
     };
     let host = request_host(head).unwrap_or_default();
     let caller = presented_key(context, head).and_then(|key| table.admit_to_batches(&host, key));
-    caller.inspect_err(|denied| tell_denied(context, &table, head, *denied))
+    caller.inspect_err(|denied| record_denial(context, &table, head, *denied))
 }
 
-/// The answer to a caller that is turned away.
+/// Response to a caller whose key was denied.
 pub(crate) fn unauthorized() -> Response<Body> {
     empty_response(StatusCode::UNAUTHORIZED)
 }
 
-/// The key that a request presents. One that cannot be a key, or several, are a key that nobody holds.
+/// The key that a request presents; `None` without a key header. A header that is not text, or more than one
+/// header, counts as an unknown key.
 fn presented_key<'a>(context: &Context, head: &'a Parts) -> Result<Option<&'a str>, Denied> {
     let mut values = head
         .headers
@@ -56,7 +57,7 @@
     first.to_str().map(Some).map_err(|_| Denied::UnknownKey)
 }
 
-fn tell_denied(context: &Context, table: &RouteTable, head: &Parts, denied: Denied) {
+fn record_denial(context: &Context, table: &RouteTable, head: &Parts, denied: Denied) {
     let id = head.headers.get(&context.dialect.headers().request_id);
     let id = id.and_then(|id| id.to_str().ok()).unwrap_or_default();
     metrics::caller_denied(denied);
@@ -65,8 +66,8 @@
         contact_age_ms = context.contact_age(), status = 401u16; "");
 }
 
-/// Puts the tenant's name into the headers for a back end and takes out what the caller said of that: its key
-/// is a secret, and the name is the system's word.
+/// Sets the tenant header for a back end, after removing the key and the tenant header that the caller sent. The
+/// key is a secret, and only this system may name the tenant.
 pub(crate) fn set_tenant_header(
     names: &HeaderNames,
     headers: &mut HeaderMap,
--- a/crates/gateway/src/call_progress.rs
+++ b/crates/gateway/src/call_progress.rs
@@ -1,5 +1,5 @@
-//! A call on its way: to which back ends it is sent, and when it is given up. It goes to another back end
-//! only where its kind allows or where it did not run.
+//! A call in progress: chooses the back ends to which the call is sent, retries and hedges it, and gives it up at its
+//! deadline. A call is sent to another back end only if its kind allows that or if it did not run.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -20,7 +20,7 @@
 
 use crate::backends::CallTarget;
 use crate::calls::{
-    BARRED_STATUS, Call, CallOutcome, StreamingAnswer, refused, refused_for_want_of_back_ends,
+    BARRED_STATUS, Call, CallOutcome, StreamingAnswer, refused, refused_without_backends,
     share_of_objective,
 };
 use crate::context::Context;
@@ -29,59 +29,59 @@
 use crate::metrics;
 use crate::send::{self, SILENT, SendOutcome, SendTerms};
 
-/// Share of the objective after which a repeatable call is also sent to a second back end.
+/// Share of the objective after which a repeatable call without an answer is also sent to a second back end.
 const HEDGE_SHARE: f64 = 0.5;
-/// Share of the objective after which a call that nobody took is refused.
+/// Share of the objective after which a call that no back end accepted is refused.
 const REFUSE_SHARE: f64 = 0.2;
-/// Pause before back ends that all turned a call away are asked again.
-const TURNED_AWAY_PAUSE: Duration = Duration::from_millis(8);
-/// Pause after a look that found no back end for the second send. Without it the look is repeated at
-/// once, and a call that waits for a silent back end takes a whole processor (2.50 s of processor time
-/// in a call of 3.0 s; 0.02 to 0.03 s with it).
-const HEDGE_AGAIN_PAUSE: Duration = Duration::from_millis(50);
-/// Time before a stopping process ends at which the calls that came to it since are answered: for the answer's
-/// way to its caller.
+/// Pause before a call is sent again to back ends that all rejected it.
+const REJECTED_RETRY_PAUSE: Duration = Duration::from_millis(8);
+/// Pause after a search that found no back end for the second send. Without a pause the search repeats at once,
+/// and a call that waits for a silent back end uses a whole processor: 2.50 s of processor time in a call of
+/// 3.0 s, against 0.02 to 0.03 s with the pause.
+const HEDGE_RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// A stopping process answers the calls that it still accepts this long before it exits, so that the answers
+/// can reach their callers.
 const ANSWER_MARGIN: Duration = Duration::from_millis(200);
-/// Least time that a send must have left to be worth it.
-const LEAST_SEND_TIME: Duration = Duration::from_millis(5);
+/// Minimum time before the deadline for a send to be worth starting.
+const MIN_SEND_TIME: Duration = Duration::from_millis(5);
 
 type SendFuture<'a> = Pin<Box<dyn Future<Output = (BackendId, SendOutcome)> + Send + 'a>>;
 
 /// A send whose outcome is not known yet.
-struct SendUnderWay {
+struct InFlightSend {
     backend: BackendId,
     link: Link,
-    /// When it was begun, by the time of day.
-    began_at: UnixMillis,
-    /// Held while a suspected request runs.
+    /// Wall-clock time at which the send started.
+    started_at_wall: UnixMillis,
+    /// Held while the send of a suspected request is in flight; limits the number of such sends.
     slot: Option<SuspectSlot>,
 }
 
-/// A call on its way: what it was sent to so far, and what came of that.
+/// State of one call: its sends so far and their outcomes.
 pub(crate) struct CallProgress<'a> {
     context: &'a Arc<Context>,
     route: &'a Route,
     call: &'a Call,
     pool: &'a PoolName,
-    /// Where it may be served.
+    /// Regions in which the call may be served.
     residency: Residency,
-    began: Instant,
-    ends: Instant,
-    /// When the second send is due, or the next look for a back end that can take it.
+    started_at: Instant,
+    deadline: Instant,
+    /// Time at which the second send is due, or the next search for a back end that can take it.
     hedge_at: Instant,
-    /// Until when it waited for another copy of it; its beginning if it did not.
-    waited_for_copy_until: Instant,
-    running: FuturesUnordered<SendFuture<'a>>,
-    under_way: Vec<SendUnderWay>,
+    /// Time until which the call waited for the outcome of another copy of it; its start if it did not wait.
+    waited_for_duplicate_until: Instant,
+    running_sends: FuturesUnordered<SendFuture<'a>>,
+    in_flight: Vec<InFlightSend>,
     tried: Vec<BackendId>,
-    /// When the first send was begun that a back end has run, or may have run.
-    ran_since: Option<UnixMillis>,
-    /// Since when it waits for the ends under it to be told.
-    untold_since: Option<Instant>,
+    /// Start of the first send that a back end has run or may have run.
+    first_run_at: Option<UnixMillis>,
+    /// Start of the wait for the reports of back ends that crashed under the call; `None` if it does not wait.
+    unreported_since: Option<Instant>,
     sends: u32,
     may_have_run: u32,
-    fell_silent: bool,
-    /// Answers of back ends that they failed.
+    had_silent_send: bool,
+    /// Number of answers with status 500.
     pub(crate) server_errors: u32,
     last_failure: Option<WholeAnswer>,
     outcomes: Vec<&'static str>,
@@ -94,10 +94,11 @@
         route: &'a Route,
         call: &'a Call,
         pool: &'a PoolName,
-        began: Instant,
+        started_at: Instant,
     ) -> Self {
-        let timeout = began + Duration::from_millis(route.timeout_ms);
-        // Without it a call that waited for a back end was cut off, with no answer, when a stopping process ended.
+        let timeout = started_at + Duration::from_millis(route.timeout_ms);
+        // Without this bound, a call that waits for a back end is cut off without an answer when a stopping process
+        // exits.
         let answer_by = match context.ends_at.get() {
             Some(ends_at) => *ends_at - ANSWER_MARGIN,
             None => call.deadline,
@@ -108,18 +109,18 @@
             call,
             pool,
             residency: residency_of(context, route, call),
-            began,
-            ends: call.deadline.min(timeout).min(answer_by),
-            hedge_at: began + share_of_objective(route, HEDGE_SHARE),
-            waited_for_copy_until: began,
-            running: FuturesUnordered::new(),
-            under_way: Vec::new(),
+            started_at,
+            deadline: call.deadline.min(timeout).min(answer_by),
+            hedge_at: started_at + share_of_objective(route, HEDGE_SHARE),
+            waited_for_duplicate_until: started_at,
+            running_sends: FuturesUnordered::new(),
+            in_flight: Vec::new(),
             tried: Vec::new(),
-            ran_since: None,
-            untold_since: None,
+            first_run_at: None,
+            unreported_since: None,
             sends: 0,
             may_have_run: 0,
-            fell_silent: false,
+            had_silent_send: false,
             server_errors: 0,
             last_failure: None,
             outcomes: Vec::new(),
@@ -127,66 +128,66 @@
         }
     }
 
-    /// Sends the call, again if need be, and answers how it ended.
+    /// Sends the call, repeatedly if necessary, and returns its outcome.
     pub(crate) async fn run(&mut self) -> CallOutcome {
         loop {
-            while self.running.is_empty() {
-                if let Some(outcome) = self.begin_or_give_up().await {
+            while self.running_sends.is_empty() {
+                if let Some(outcome) = self.start_send_or_finish().await {
                     return outcome;
                 }
             }
             tokio::select! {
-                Some((backend, sent)) = self.running.next(), if !self.running.is_empty() => {
-                    let ended = self.no_longer_under_way(&backend);
-                    if let Some(outcome) = self.take(sent, ended) {
+                Some((backend, sent)) = self.running_sends.next(), if !self.running_sends.is_empty() => {
+                    let ended = self.remove_in_flight(&backend);
+                    if let Some(outcome) = self.record_outcome(sent, ended) {
                         return outcome;
                     }
                 }
-                () = havenstage_clock::sleep_until(self.hedge_at), if self.may_hedge() => {
-                    if !self.begin() {
-                        self.hedge_at = Instant::now() + HEDGE_AGAIN_PAUSE;
+                () = havenstage_clock::sleep_until(self.hedge_at), if self.can_hedge() => {
+                    if !self.start_send() {
+                        self.hedge_at = Instant::now() + HEDGE_RETRY_PAUSE;
                     }
                 }
-                () = havenstage_clock::sleep_until(self.ends) => return self.out_of_time(),
+                () = havenstage_clock::sleep_until(self.deadline) => return self.time_out(),
             }
         }
     }
 
-    /// Starts a send when none is running, or answers how the call ends instead.
-    async fn begin_or_give_up(&mut self) -> Option<CallOutcome> {
-        if Instant::now() + LEAST_SEND_TIME >= self.ends {
-            return Some(self.out_of_time());
+    /// Starts a send when none is in flight, or returns the outcome with which the call ends instead.
+    async fn start_send_or_finish(&mut self) -> Option<CallOutcome> {
+        if Instant::now() + MIN_SEND_TIME >= self.deadline {
+            return Some(self.time_out());
         }
-        if self.may_have_run > 0 && !self.may_run_again() {
-            return Some(self.ended_in_failure());
+        if self.may_have_run > 0 && !self.can_run_again() {
+            return Some(self.take_failure());
         }
-        if let Some(outcome) = self.kept_back() {
+        if let Some(outcome) = self.check_admission() {
             return Some(outcome);
         }
-        if self.lacks_back_ends() {
+        if self.has_no_backends() {
             return Some(match self.may_have_run {
-                0 => refused_for_want_of_back_ends(self.route),
-                _ => self.ended_in_failure(),
+                0 => refused_without_backends(self.route),
+                _ => self.take_failure(),
             });
         }
-        if self.may_have_run == 0 && self.has_waited_enough() {
-            // All that are known turn it away.
+        if self.may_have_run == 0 && self.is_refusal_due() {
+            // All known back ends reject the call.
             self.context.backends.want_more(self.pool);
             return Some(refused());
         }
-        if !self.begin() {
-            tokio::time::sleep(TURNED_AWAY_PAUSE).await;
+        if !self.start_send() {
+            tokio::time::sleep(REJECTED_RETRY_PAUSE).await;
         }
         None
     }
 
-    /// How the call ends if it must not be sent by this node, in view of the back ends that ended under it.
-    fn kept_back(&mut self) -> Option<CallOutcome> {
+    /// Returns the outcome if this node must not send the call because of the back ends that crashed under it.
+    fn check_admission(&mut self) -> Option<CallOutcome> {
         let admission = self.admission();
         if matches!(admission, Admission::Send(_) | Admission::Wait) {
             return None;
         }
-        if matches!(admission, Admission::Untold) && self.waits_to_be_told() {
+        if matches!(admission, Admission::Untold) && self.can_wait_for_reports() {
             return None;
         }
         let (request, id) = (self.call.fingerprint(), self.call.id_text());
@@ -200,22 +201,23 @@
         }
         Some(match self.may_have_run {
             0 => refused(),
-            _ => self.ended_in_failure(),
+            _ => self.take_failure(),
         })
     }
 
-    /// Whether it may wait on until the ends under it are told to other nodes.
-    fn waits_to_be_told(&mut self) -> bool {
-        let since = *self.untold_since.get_or_insert_with(Instant::now);
+    /// Whether the call may keep waiting until other nodes have received the reports of back ends that crashed
+    /// under it.
+    fn can_wait_for_reports(&mut self) -> bool {
+        let since = *self.unreported_since.get_or_insert_with(Instant::now);
         since.elapsed() < crash_guard::UNTOLD_PATIENCE
     }
 
-    fn may_run_again(&self) -> bool {
+    fn can_run_again(&self) -> bool {
         self.route.kind.can_repeat() && self.may_have_run < self.route.attempts.max(1)
     }
 
-    /// Whether it is known that nobody takes the pool's calls at this moment.
-    fn lacks_back_ends(&self) -> bool {
+    /// Whether the list of back ends is complete and none of them accepts the pool's calls now.
+    fn has_no_backends(&self) -> bool {
         let target = self.target();
         let backends = self.context.backends.lock();
         let has_some = backends.allowed_for_call(&target).next().is_some();
@@ -227,7 +229,6 @@
         self.context.backends.is_listed_whole()
     }
 
-    /// Where it may go.
     fn target(&self) -> CallTarget<'_> {
         CallTarget {
             pool: self.pool,
@@ -236,7 +237,7 @@
         }
     }
 
-    /// Whether every back end that takes the pool's calls was asked.
+    /// Whether the call was sent to every back end that accepts the pool's calls.
     fn were_all_tried(&self) -> bool {
         let target = self.target();
         let backends = self.context.backends.lock();
@@ -244,37 +245,37 @@
         ready.all(|id| self.tried.contains(id))
     }
 
-    /// Whether a call that nobody took is refused now. A reward call waits in its node for the next turn, so that
-    /// turned away calls don't crowd out those of callers.
-    fn has_waited_enough(&mut self) -> bool {
+    /// Whether a call that no back end accepted is refused now. A reward call is refused once every back end was
+    /// tried: its node makes it again later, so that rejected reward calls don't crowd out those of callers.
+    fn is_refusal_due(&mut self) -> bool {
         if self.call.batch.is_some() {
             return self.were_all_tried();
         }
         if matches!(self.admission(), Admission::Wait) {
-            self.waited_for_copy_until = Instant::now();
-            return self.began.elapsed() > self.copy_patience();
+            self.waited_for_duplicate_until = Instant::now();
+            return self.started_at.elapsed() > self.duplicate_timeout();
         }
-        let since = self.waited_for_copy_until;
+        let since = self.waited_for_duplicate_until;
         since.elapsed() > share_of_objective(self.route, REFUSE_SHARE)
     }
 
-    /// Time for which it waits to learn what came of another copy of it, but not past its objective. A copy whose caller left
-    /// before a back end began it takes no more than that, and the call can be sent then.
-    fn copy_patience(&self) -> Duration {
+    /// Time for which the call waits for the outcome of another copy of it, at most its objective. If the other
+    /// copy's caller left before a back end started that copy, this is known by then, and this call can be sent.
+    fn duplicate_timeout(&self) -> Duration {
         let usual = share_of_objective(self.route, REFUSE_SHARE);
         let objective = share_of_objective(self.route, 1.0);
         usual.max(crash_evidence::FATE_KNOWN_AFTER.min(objective))
     }
 
-    fn may_hedge(&self) -> bool {
+    fn can_hedge(&self) -> bool {
         self.route.kind == RequestKind::Repeatable
-            && self.running.len() == 1
+            && self.running_sends.len() == 1
             && self.may_have_run + 1 < self.route.attempts.max(1)
-            && self.may_be_written()
+            && self.can_be_written()
             && matches!(self.admission(), Admission::Send(None))
     }
 
-    /// Whether it may be sent now, in view of the back ends that ended under it.
+    /// Whether the call may be sent now, in view of the back ends that crashed under it.
     fn admission(&self) -> Admission {
         if crash_guard::suspects_nobody(self.context) {
             return Admission::Send(None);
@@ -286,13 +287,13 @@
         crash_guard::admit(self.context, &self.call.fingerprint(), sender)
     }
 
-    fn may_be_written(&self) -> bool {
-        self.call.write_by(self.context, self.ends).is_some()
+    fn can_be_written(&self) -> bool {
+        self.call.write_by(self.context, self.deadline).is_some()
     }
 
-    /// Sends the call to one more back end; false if there is none to be had.
-    fn begin(&mut self) -> bool {
-        if !self.may_be_written() {
+    /// Starts a send to one more back end; false if the call may not be sent or no back end is available.
+    fn start_send(&mut self) -> bool {
+        if !self.can_be_written() {
             return false;
         }
         let Admission::Send(slot) = self.admission() else {
@@ -304,32 +305,32 @@
         let Some(chosen) = backends.choose_for_call(&target, &self.tried, now, draw) else {
             return false;
         };
-        if self.tried.contains(&chosen.id) && !self.running.is_empty() {
+        if self.tried.contains(&chosen.id) && !self.running_sends.is_empty() {
             return false;
         }
         self.sends += 1;
         let is_again = self.tried.contains(&chosen.id);
         self.tried.push(chosen.id.clone());
         let pause = if is_again {
-            TURNED_AWAY_PAUSE
+            REJECTED_RETRY_PAUSE
         } else {
             Duration::ZERO
         };
         let (context, call) = (self.context, self.call);
-        let is_unanswered = self.fell_silent || !self.running.is_empty();
+        let is_unanswered = self.had_silent_send || !self.running_sends.is_empty();
         let terms = SendTerms {
-            ends: self.ends,
-            unanswered_since: is_unanswered.then_some(self.began),
-            ends_when_silent: self.route.kind == RequestKind::Stream { resumable: true },
+            deadline: self.deadline,
+            unanswered_since: is_unanswered.then_some(self.started_at),
+            gives_up_on_silence: self.route.kind == RequestKind::Stream { resumable: true },
         };
         let backend = chosen.id.clone();
-        self.under_way.push(SendUnderWay {
+        self.in_flight.push(InFlightSend {
             backend: backend.clone(),
             link: chosen.link.clone(),
-            began_at: context.time_of_day.now(),
+            started_at_wall: context.time_of_day.now(),
             slot,
         });
-        self.running.push(Box::pin(async move {
+        self.running_sends.push(Box::pin(async move {
             tokio::time::sleep(pause).await;
             let outcome = send::send(context, chosen, call, &terms).await;
             (backend, outcome)
@@ -337,25 +338,30 @@
         true
     }
 
-    fn no_longer_under_way(&mut self, backend: &BackendId) -> Option<SendUnderWay> {
+    fn remove_in_flight(&mut self, backend: &BackendId) -> Option<InFlightSend> {
         let at = self
-            .under_way
+            .in_flight
             .iter()
             .position(|send| send.backend == *backend)?;
-        Some(self.under_way.swap_remove(at))
+        Some(self.in_flight.swap_remove(at))
     }
 
-    /// Takes the outcome of a send that has ended.
-    fn take(&mut self, sent: SendOutcome, ended: Option<SendUnderWay>) -> Option<CallOutcome> {
+    /// Records the outcome of a send that has ended; returns the outcome of the call if that is decided by it.
+    fn record_outcome(
+        &mut self,
+        sent: SendOutcome,
+        ended: Option<InFlightSend>,
+    ) -> Option<CallOutcome> {
         self.outcomes.push(sent.name());
         if let (Some(send), false) = (&ended, matches!(sent, SendOutcome::NotRun(_))) {
-            self.may_have_run_since(send.began_at);
+            self.record_possible_run(send.started_at_wall);
         }
         let slot = ended.and_then(|send| send.slot);
         match sent {
             SendOutcome::Answered(answer) if answer.status.is_server_error() => {
                 self.may_have_run += 1;
-                // A back end that ran out of time, or could not reach another one, has not failed at it.
+                // Only a 500 counts as a failure at the call: a back end that ran out of time or could not reach
+                // another service answers with a different 5xx status.
                 if answer.status == StatusCode::INTERNAL_SERVER_ERROR {
                     self.server_errors += 1;
                 }
@@ -369,7 +375,7 @@
                     pool: self.pool.clone(),
                     residency: self.residency.clone(),
                     sends: self.sends,
-                    ends: self.ends,
+                    deadline: self.deadline,
                     answer: started.answer,
                     backend: started.backend,
                     slot,
@@ -378,13 +384,13 @@
             SendOutcome::NotRun(_) => None,
             SendOutcome::MayHaveRun(reason) => {
                 self.may_have_run += 1;
-                self.fell_silent |= reason == SILENT;
+                self.had_silent_send |= reason == SILENT;
                 None
             }
         }
     }
 
-    fn ended_in_failure(&mut self) -> CallOutcome {
+    fn take_failure(&mut self) -> CallOutcome {
         match self.last_failure.take() {
             Some(answer) => CallOutcome::Answered(answer),
             None => CallOutcome::Failed {
@@ -393,9 +399,9 @@
         }
     }
 
-    fn out_of_time(&mut self) -> CallOutcome {
-        self.give_up_sends();
-        let nothing_ran = self.may_have_run == 0 && self.running.is_empty();
+    fn time_out(&mut self) -> CallOutcome {
+        self.abandon_sends();
+        let nothing_ran = self.may_have_run == 0 && self.running_sends.is_empty();
         match self.last_failure.take() {
             Some(answer) => CallOutcome::Answered(answer),
             None if nothing_ran => refused(),
@@ -405,40 +411,41 @@
         }
     }
 
-    /// The sends that are under way are dropped, though a back end may end under one just now.
-    fn give_up_sends(&mut self) {
-        self.note_runs_under_way();
-        for send in self.under_way.drain(..) {
-            let mut given_up = send::unanswered(self.call, send.backend, send.link);
+    /// Drops the sends in flight. Their back ends stay watched for a while, as one may be crashing under its send.
+    fn abandon_sends(&mut self) {
+        self.record_in_flight_sends();
+        for send in self.in_flight.drain(..) {
+            let mut given_up = send::unanswered_send(self.call, send.backend, send.link);
             given_up.slot = send.slot;
             crash_evidence::send_given_up(self.context, given_up);
         }
     }
 
-    /// What is under way may run by now.
-    fn note_runs_under_way(&mut self) {
-        let first = self.under_way.iter().map(|send| send.began_at).min();
-        if let Some(began_at) = first {
-            self.may_have_run_since(began_at);
+    /// Records that the sends in flight may have started to run.
+    fn record_in_flight_sends(&mut self) {
+        let first = self.in_flight.iter().map(|send| send.started_at_wall).min();
+        if let Some(started_at_wall) = first {
+            self.record_possible_run(started_at_wall);
         }
     }
 
-    fn may_have_run_since(&mut self, began_at: UnixMillis) {
-        let known = self.ran_since.unwrap_or(UnixMillis::MAX);
-        self.ran_since = Some(known.min(began_at));
+    fn record_possible_run(&mut self, started_at_wall: UnixMillis) {
+        let known = self.first_run_at.unwrap_or(UnixMillis::MAX);
+        self.first_run_at = Some(known.min(started_at_wall));
     }
 
-    /// Counts the call for its tenant, once, from when a back end first began it.
-    fn meter(&mut self) {
-        self.note_runs_under_way();
+    /// Counts the call for its tenant's usage, dated at the first send that a back end may have run. Calls that
+    /// the node makes for a batch are not counted.
+    fn record_usage(&mut self) {
+        self.record_in_flight_sends();
         let is_callers_own = self.call.batch.is_none();
         let tenant = self.call.tenant.as_ref().filter(|_| is_callers_own);
-        if let (Some(tenant), Some(ran_since)) = (tenant, self.ran_since) {
-            self.context.usage.record_request(tenant, ran_since);
+        if let (Some(tenant), Some(first_run_at)) = (tenant, self.first_run_at) {
+            self.context.usage.record_request(tenant, first_run_at);
         }
     }
 
-    /// Tells how the call ended.
+    /// Logs the outcome of the call and records it in metrics and usage.
     pub(crate) fn report(&mut self, outcome: &CallOutcome) {
         let (name, status) = match outcome {
             CallOutcome::Answered(answer) => ("answered", answer.status.as_u16()),
@@ -447,22 +454,22 @@
             CallOutcome::Failed { status } => ("failed", status.as_u16()),
             CallOutcome::Barred => ("barred", BARRED_STATUS.as_u16()),
         };
-        self.write_line(name, status);
+        self.log_outcome(name, status);
     }
 
-    fn write_line(&mut self, name: &'static str, status: u16) {
+    fn log_outcome(&mut self, name: &'static str, status: u16) {
         self.is_reported = true;
-        self.meter();
+        self.record_usage();
         let request = self.call.id_text();
         let content = self.call.fingerprint.get();
         let content = content.map_or(String::new(), Fingerprint::to_string);
         let tried = join_ids(&self.tried);
         self.outcomes
-            .extend(std::iter::repeat_n("under_way", self.running.len()));
+            .extend(std::iter::repeat_n("under_way", self.running_sends.len()));
         let sends = self.outcomes.join(",");
-        let took_ms = self.began.elapsed().as_millis() as u64;
+        let took_ms = self.started_at.elapsed().as_millis() as u64;
         let left_ms = self
-            .ends
+            .deadline
             .saturating_duration_since(Instant::now())
             .as_millis() as u64;
         let routes = self.context.routes().map_or(0, |table| table.version());
@@ -475,16 +482,16 @@
 }
 
 impl Drop for CallProgress<'_> {
-    /// A call that is dropped before it ended was given up by its caller.
+    /// A call that is dropped before its outcome was reported was abandoned by its caller.
     fn drop(&mut self) {
         if !self.is_reported {
-            self.give_up_sends();
-            self.write_line("caller_left", 0);
+            self.abandon_sends();
+            self.log_outcome("caller_left", 0);
         }
     }
 }
 
-/// Where a call may be served: its route and its tenant both bind.
+/// Regions in which a call may be served. The restrictions of the route and of the tenant both apply.
 fn residency_of(context: &Context, route: &Route, call: &Call) -> Residency {
     match context.routes() {
         Some(table) => table.residency(route, call.tenant.as_ref()),
--- a/crates/gateway/src/caller_stream.rs
+++ b/crates/gateway/src/caller_stream.rs
@@ -1,8 +1,8 @@
-//! A caller's connection whose close is noticed whatever else is going on.
+//! A caller's connection whose close is detected even while unread bytes are buffered.
 //!
-//! The HTTP library notices a close by reading. It does not read on while bytes of a next request lie
-//! in its buffer, so a back end would go on with a call whose caller is gone. The operating system
-//! tells of the close in any case, also behind bytes that nobody has read.
+//! The HTTP library detects a close by reading. It does not read while bytes of a next request are in its
+//! buffer, so a back end would continue a call whose caller has left. The operating system reports the
+//! close in any case, also behind bytes that were not read.
 
 use std::io::{self, ErrorKind, IoSlice};
 use std::net::Shutdown;
@@ -14,24 +14,24 @@
 use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
 use tokio::net::TcpStream;
 
-/// The bytes of a caller's connection.
+/// Reads and writes the bytes of a caller's connection.
 pub(crate) struct CallerStream(Arc<TcpStream>);
 
-/// Watches the same connection for its close.
+/// Waits for the close of the same connection.
 pub(crate) struct CloseWatch(Arc<TcpStream>);
 
-/// Both parts of a connection.
+/// Splits a connection into its byte stream and a watch for its close.
 pub(crate) fn split_with_close_watch(stream: TcpStream) -> (CallerStream, CloseWatch) {
     let stream = Arc::new(stream);
     (CallerStream(stream.clone()), CloseWatch(stream))
 }
 
 impl CloseWatch {
-    /// Returns once the caller has closed, reset, or shut down its writing side. The last is what a
-    /// close looks like from here, so it counts as one.
+    /// Returns once the caller has closed or reset the connection or shut down its writing side. A shutdown of the
+    /// writing side cannot be told apart from a close here, so it counts as one.
     pub(crate) async fn closed(&self) {
-        // The interest in urgent data stands for no data at all, but is served by a close as well.
-        // Interest in data would be served over and over while unread bytes lie there.
+        // Interest in urgent data is not triggered by ordinary data, but a close triggers it too. Interest in
+        // ordinary data would be triggered again and again while unread bytes are buffered.
         while let Ok(ready) = self.0.ready(Interest::PRIORITY).await {
             if ready.is_read_closed() {
                 return;
@@ -93,7 +93,7 @@
         true
     }
 
-    /// Nothing is kept back here.
+    /// Does nothing: writes are not buffered here.
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         Poll::Ready(Ok(()))
     }
@@ -101,7 +101,7 @@
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         let shut_down = SockRef::from(self.0.as_ref()).shutdown(Shutdown::Write);
         Poll::Ready(match shut_down {
-            // The caller has reset it; there is nothing left to shut down.
+            // The caller has reset the connection, so there is nothing left to shut down.
             Err(error) if error.kind() == ErrorKind::NotConnected => Ok(()),
             result => result,
         })
--- a/crates/gateway/src/calls.rs
+++ b/crates/gateway/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls passed through whole: a back end is chosen, the call is sent, and its answer is returned
+//! Forwards calls: reads a call whole, chooses a back end, sends the call there and returns the answer
 //! unchanged.
 
 use std::sync::{Arc, OnceLock};
@@ -21,118 +21,118 @@
 use crate::crash_guard::SuspectSlot;
 use crate::fingerprint;
 
-/// Time after which a caller may come back whom no back end had a place for.
-const COME_BACK: Duration = Duration::from_millis(50);
-/// Share of the objective after which a caller may come back whose pool has no back end that takes calls.
-const ABSENT_SHARE: f64 = 0.25;
+/// Retry delay for a caller whose call was rejected because every back end had all its slots in use.
+const BUSY_RETRY_AFTER: Duration = Duration::from_millis(50);
+/// Retry delay, as a share of the route's objective, for a caller whose pool has no back end that accepts calls.
+const NO_BACKEND_RETRY_SHARE: f64 = 0.25;
 
-/// Answer to a call that is barred. Final, and without a time to come back; it says nothing of whether an
-/// earlier try ran, as a 503 would.
+/// Status of the answer to a barred call. It is final and names no retry delay. It is not 503, because a 503
+/// states that the call did not run, and an earlier try of a barred call may have run.
 pub const BARRED_STATUS: StatusCode = StatusCode::BAD_GATEWAY;
 
-/// A call, read whole.
+/// A call whose head and body were read whole.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// Its request id.
+    /// Request id given by the caller. Back ends repeat it in their answers.
     pub id: HeaderValue,
-    /// Method.
+    /// HTTP method, forwarded unchanged.
     pub method: Method,
-    /// Path and query.
+    /// Path and query, forwarded unchanged.
     pub uri: Uri,
-    /// Headers that go along, without those of the connection.
+    /// Headers to forward, without those that concern only the caller's connection.
     pub headers: HeaderMap,
-    /// Body.
+    /// Body, forwarded unchanged.
     pub body: Bytes,
-    /// When its caller stops waiting.
+    /// Time at which the caller stops waiting for the answer.
     pub deadline: Instant,
-    /// The tenant whose key its caller presented; `None` where no key was asked for, and for the system's own
-    /// calls.
+    /// Tenant whose key the caller presented; `None` where no key is required, and for calls that the node makes
+    /// itself.
     pub tenant: Option<TenantName>,
-    /// The batch for which it is made: nothing of it is written once that may have ended.
+    /// Batch for which the node makes the call; `None` for a caller's call. Nothing of the call is written to a
+    /// connection once this batch may have ended.
     pub batch: Option<BatchId>,
-    /// Its fingerprint, once it was asked for.
+    /// Cached fingerprint; empty until it is first needed.
     pub fingerprint: OnceLock<Fingerprint>,
 }
 
 impl Call {
-    /// What stays the same of it when its caller tries again; worked out only when it is needed.
+    /// Hash over the parts of the call that stay the same when the caller retries it. It is computed on first use.
     pub(crate) fn fingerprint(&self) -> Fingerprint {
         *self.fingerprint.get_or_init(|| fingerprint::of_call(self))
     }
 
-    /// Its request id as text.
     pub(crate) fn id_text(&self) -> String {
         String::from_utf8_lossy(self.id.as_bytes()).into_owned()
     }
 
-    /// Time after which nothing of it may be written, if it must be over at `ends`; `None` if nothing
-    /// may be written at all.
-    pub(crate) fn write_by(&self, context: &Context, ends: Instant) -> Option<Instant> {
+    /// Time after which nothing of the call may be written to a connection, if the call must end by `deadline`;
+    /// `None` if nothing may be written at all.
+    pub(crate) fn write_by(&self, context: &Context, deadline: Instant) -> Option<Instant> {
         match &self.batch {
-            Some(batch) => context.write_by(batch).map(|at| at.min(ends)),
-            None => Some(ends),
+            Some(batch) => context.write_by(batch).map(|at| at.min(deadline)),
+            None => Some(deadline),
         }
     }
 }
 
 /// How a call ended.
 pub enum CallOutcome {
-    /// A back end answered; the answer is passed on as it is.
+    /// A back end answered. The answer is forwarded unchanged.
     Answered(WholeAnswer),
-    /// A back end answers with a stream.
+    /// A back end has begun to answer with an event stream.
     Streaming(Box<StreamingAnswer>),
-    /// It did not run and will not; its caller may come back after the pause.
+    /// The call did not run and will not run. The caller may retry it.
     Refused {
-        /// When to come back.
+        /// Time that the caller is asked to wait before it retries.
         retry_after: Duration,
     },
-    /// It may have run, and no answer can be given.
+    /// The call may have run, and there is no answer to return.
     Failed {
-        /// Status to answer with.
+        /// HTTP status for the caller: 502 after failed sends, 504 after the deadline.
         status: StatusCode,
     },
-    /// Back ends end under it: it is not sent any more. An earlier send of it may have run, so this is no
-    /// word that it has not.
+    /// The call crashes the back ends that run it, so it is not sent any more. An earlier send of it may have
+    /// run, so this outcome does not mean that the call has not run.
     Barred,
 }
 
-/// How a call ended, and how often back ends failed at it on the way.
+/// Outcome of a call, with the number of failures of back ends before it.
 pub struct Executed {
-    /// How it ended.
+    /// Outcome for the caller.
     pub outcome: CallOutcome,
-    /// Answers of back ends that they failed.
+    /// Number of answers with status 500 that back ends gave to the call.
     pub server_errors: u32,
 }
 
-/// A stream that a back end has begun.
+/// A stream that a back end has begun, with all that is needed to resume it at another back end.
 pub struct StreamingAnswer {
-    /// The call, for a run that goes on elsewhere.
+    /// The call, which is sent again when the stream is resumed.
     pub call: Call,
-    /// Pool that serves it.
+    /// Pool whose back ends may serve the stream.
     pub pool: PoolName,
-    /// Where it may be served.
+    /// Regions in which the stream may be served.
     pub residency: Residency,
-    /// Back ends it was sent to so far.
+    /// Number of sends of the call so far.
     pub sends: u32,
-    /// When it must be over.
-    pub ends: Instant,
-    /// The answer.
+    /// Time by which the stream must end.
+    pub deadline: Instant,
+    /// The back end's answer, whose head has been received.
     pub answer: Answer,
-    /// Where it runs.
+    /// Back end that produces the stream.
     pub backend: ChosenBackend,
     pub(crate) slot: Option<SuspectSlot>,
 }
 
-/// Passes a call on by its route and returns how it ended.
+/// Sends a call to a pool of its route, retries it where that is allowed, and returns the outcome.
 pub async fn execute(context: &Arc<Context>, route: &Route, call: Call) -> Executed {
-    let began = Instant::now();
+    let started_at = Instant::now();
     let Some(pool) = route.pool_for(xxh3_64(call.id.as_bytes())) else {
         return Executed {
-            outcome: refused_for_want_of_back_ends(route),
+            outcome: refused_without_backends(route),
             server_errors: 0,
         };
     };
-    let mut progress = CallProgress::new(context, route, &call, pool, began);
+    let mut progress = CallProgress::new(context, route, &call, pool, started_at);
     let outcome = progress.run().await;
     progress.report(&outcome);
     Executed {
@@ -141,22 +141,22 @@
     }
 }
 
-/// The end of a call that nobody took.
+/// Outcome of a call that no back end accepted.
 pub(crate) fn refused() -> CallOutcome {
     CallOutcome::Refused {
-        retry_after: COME_BACK,
+        retry_after: BUSY_RETRY_AFTER,
     }
 }
 
-/// The end of a call whose pool has no back end that takes calls. Places free up all the time, but a pool
-/// that is gone is away for longer.
-pub(crate) fn refused_for_want_of_back_ends(route: &Route) -> CallOutcome {
+/// Outcome of a call whose pool has no back end that accepts calls. The retry delay is longer than for busy
+/// back ends: slots free up all the time, but an absent pool stays away for longer.
+pub(crate) fn refused_without_backends(route: &Route) -> CallOutcome {
     CallOutcome::Refused {
-        retry_after: share_of_objective(route, ABSENT_SHARE).max(COME_BACK),
+        retry_after: share_of_objective(route, NO_BACKEND_RETRY_SHARE).max(BUSY_RETRY_AFTER),
     }
 }
 
-/// A share of the time in which a route's calls are to be answered.
+/// A share of the route's objective, which is the time within which its calls are to be answered.
 pub(crate) fn share_of_objective(route: &Route, share: f64) -> Duration {
     Duration::from_secs_f64(route.objective_ms as f64 * share / 1_000.0)
 }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -1,5 +1,5 @@
-//! Passes a stream of events on as it comes. A resumable one goes on at another back end, within the
-//! same answer, after the last event that was passed on whole.
+//! Forwards an event stream to the caller as it arrives. If a resumable stream breaks, it is resumed at another back
+//! end within the same answer, after the last event that was forwarded whole.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,17 +22,18 @@
 use crate::crash_guard::{self, Admission, Sender, SuspectSlot};
 use crate::send;
 
-/// Pause before it is looked again whether a suspected stream may go on: what else runs of it ends soon.
+/// Pause before the next check whether a suspected stream may be resumed. Other sends of the same request end soon.
 const ADMISSION_PAUSE: Duration = Duration::from_millis(20);
-/// Silence after which a resumable stream goes on elsewhere.
-const SILENCE: Duration = Duration::from_millis(1_000);
+/// Silence after which a resumable stream is resumed at another back end.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// The back end's stream broke off, so the caller's answer must not look whole.
+/// The back end's stream broke off. The caller's connection is then broken as well, so that the answer does not
+/// look complete.
 #[derive(Debug, Clone, Copy, Error)]
 #[error("the back end's stream broke off")]
 pub struct StreamBroken;
 
-/// A stream that is being passed on.
+/// A stream that is being forwarded to a caller.
 pub struct Relay {
     context: Arc<Context>,
     call: Call,
@@ -40,37 +41,38 @@
     residency: Residency,
     status: StatusCode,
     headers: HeaderMap,
-    current: Option<Current>,
+    current: Option<ActiveAnswer>,
     reader: EventReader,
     last_event: Option<u64>,
     tried: Vec<BackendId>,
     resumes_left: u32,
     is_resumable: bool,
-    /// Whether the last break was a silence: what silenced that connection may have silenced others too.
-    fell_silent: bool,
-    ends: Instant,
+    /// Whether the last break was a silence. Its cause may have silenced other connections too.
+    had_silent_send: bool,
+    deadline: Instant,
 }
 
-struct Current {
+struct ActiveAnswer {
     answer: Answer,
     backend: ChosenBackend,
-    /// Held while a suspected request runs.
+    /// Held while the send of a suspected request is in flight; limits the number of such sends.
     slot: Option<SuspectSlot>,
 }
 
 impl Relay {
-    /// Begins with the answer of the first back end, whose head the caller gets.
+    /// Starts to forward the answer of the first back end. Its status and headers go to the caller; the headers of
+    /// back ends that resume the stream do not.
     pub fn new(context: Arc<Context>, route: &Route, streaming: StreamingAnswer) -> Self {
         let mut headers = streaming.answer.headers().clone();
         send::remove_connection_headers(&mut headers);
         let version_field = context.dialect.headers().weight_version.as_str().to_owned();
         let is_resumable = route.kind == RequestKind::Stream { resumable: true };
-        let asked_from = streaming
+        let resume_header = streaming
             .call
             .headers
             .get(&context.dialect.headers().last_event_id);
         Self {
-            last_event: asked_from.and_then(|id| id.to_str().ok()?.parse().ok()),
+            last_event: resume_header.and_then(|id| id.to_str().ok()?.parse().ok()),
             call: streaming.call,
             pool: streaming.pool,
             residency: streaming.residency,
@@ -80,9 +82,9 @@
             tried: vec![streaming.backend.id.clone()],
             resumes_left: route.attempts.saturating_sub(streaming.sends),
             is_resumable,
-            fell_silent: false,
-            ends: streaming.ends,
-            current: Some(Current {
+            had_silent_send: false,
+            deadline: streaming.deadline,
+            current: Some(ActiveAnswer {
                 answer: streaming.answer,
                 backend: streaming.backend,
                 slot: streaming.slot,
@@ -91,17 +93,18 @@
         }
     }
 
-    /// Status of the answer.
+    /// HTTP status for the caller, from the first back end's answer.
     pub fn status(&self) -> StatusCode {
         self.status
     }
 
-    /// Headers of the answer.
+    /// Headers for the caller, from the first back end's answer, without hop-by-hop headers.
     pub fn headers(&self) -> &HeaderMap {
         &self.headers
     }
 
-    /// The next bytes for the caller; `None` at the end.
+    /// Returns the next bytes for the caller, or `None` at the end of the stream. The error means that the stream
+    /// broke and could not be resumed.
     pub async fn next(&mut self) -> Option<Result<Bytes, StreamBroken>> {
         loop {
             if let Some(event) = self.reader.next_event() {
@@ -120,10 +123,10 @@
                 }
                 broken @ (Ok(None) | Err(_)) => {
                     let error = broken.err();
-                    self.fell_silent = error.is_some_and(is_silence);
+                    self.had_silent_send = error.is_some_and(is_silence);
                     if error == Some(LinkError::Broken) {
                         let (id, link) = (current.backend.id.clone(), current.backend.link.clone());
-                        self.send_broke(id, link).await;
+                        self.record_broken_send(id, link).await;
                     }
                     if !self.resume().await {
                         self.current = None;
@@ -134,14 +137,14 @@
         }
     }
 
-    /// Goes on at another back end; false if that cannot be done.
+    /// Resumes the stream at another back end; false if that is not possible.
     async fn resume(&mut self) -> bool {
         let from = self
             .current
             .take()
             .map(|current| current.backend.id.clone());
-        let mut untold_since = None;
-        while self.is_resumable && self.resumes_left > 0 && Instant::now() < self.ends {
+        let mut unreported_since = None;
+        while self.is_resumable && self.resumes_left > 0 && Instant::now() < self.deadline {
             let request = self.call.fingerprint();
             let slot = match crash_guard::admit(&self.context, &request, Sender::Any) {
                 Admission::Send(slot) => slot,
@@ -150,7 +153,7 @@
                     continue;
                 }
                 Admission::Untold => {
-                    let since = *untold_since.get_or_insert_with(Instant::now);
+                    let since = *unreported_since.get_or_insert_with(Instant::now);
                     if since.elapsed() < crash_guard::UNTOLD_PATIENCE {
                         tokio::time::sleep(ADMISSION_PAUSE).await;
                         continue;
@@ -181,11 +184,11 @@
                 break;
             };
             self.tried.push(backend.id.clone());
-            if let Some(answer) = self.ask_to_go_on(&backend).await {
+            if let Some(answer) = self.request_resume(&backend).await {
                 self.report("resumed", from.as_ref(), Some(&backend.id));
                 let version_field = self.context.dialect.headers().weight_version.as_str();
                 self.reader = EventReader::new(version_field);
-                self.current = Some(Current {
+                self.current = Some(ActiveAnswer {
                     answer,
                     backend,
                     slot,
@@ -197,36 +200,38 @@
         false
     }
 
-    async fn ask_to_go_on(&mut self, backend: &ChosenBackend) -> Option<Answer> {
+    /// Asks a back end for the events after the last one that was forwarded; `None` if it does not answer with a
+    /// stream of this request.
+    async fn request_resume(&mut self, backend: &ChosenBackend) -> Option<Answer> {
         let names = self.context.dialect.headers();
-        let left = self.ends.saturating_duration_since(Instant::now());
+        let left = self.deadline.saturating_duration_since(Instant::now());
         let mut request = send::backend_request(&self.context, backend, &self.call, left);
         if let Some(last_event) = self.last_event {
             let headers = request.headers_mut();
             headers.insert(names.last_event_id.clone(), HeaderValue::from(last_event));
         }
-        let mut sending = Sending::within(SILENCE.min(left));
-        if self.fell_silent {
+        let mut sending = Sending::within(SILENCE_TIMEOUT.min(left));
+        if self.had_silent_send {
             let now = Instant::now();
-            sending = sending.over_one_heard_since(now.checked_sub(SILENCE).unwrap_or(now));
+            sending = sending.over_one_heard_since(now.checked_sub(SILENCE_TIMEOUT).unwrap_or(now));
         }
         let answer = match backend.link.send_as(request, sending).await {
             Ok(answer) => answer,
             Err(error) => {
-                self.fell_silent |= is_silence(error);
+                self.had_silent_send |= is_silence(error);
                 if error == LinkError::Broken {
-                    self.send_broke(backend.id.clone(), backend.link.clone())
+                    self.record_broken_send(backend.id.clone(), backend.link.clone())
                         .await;
                 }
                 return None;
             }
         };
-        let is_ours = answer.headers().get(&names.request_id) == Some(&self.call.id);
-        (answer.status().is_success() && is_ours).then_some(answer)
+        let has_request_id = answer.headers().get(&names.request_id) == Some(&self.call.id);
+        (answer.status().is_success() && has_request_id).then_some(answer)
     }
 
-    async fn send_broke(&self, backend: BackendId, link: Link) {
-        let broken = send::unanswered(&self.call, backend, link);
+    async fn record_broken_send(&self, backend: BackendId, link: Link) {
+        let broken = send::unanswered_send(&self.call, backend, link);
         crash_evidence::send_broke(&self.context, broken).await;
     }
 
@@ -239,11 +244,11 @@
 }
 
 impl Drop for Relay {
-    /// A stream that is dropped before it ended was given up by its caller.
+    /// A stream that is dropped before its end was abandoned by its caller.
     fn drop(&mut self) {
         if let Some(current) = self.current.take() {
             let (id, link) = (current.backend.id.clone(), current.backend.link.clone());
-            let mut given_up = send::unanswered(&self.call, id, link);
+            let mut given_up = send::unanswered_send(&self.call, id, link);
             given_up.slot = current.slot;
             crash_evidence::send_given_up(&self.context, given_up);
         }
@@ -256,9 +261,9 @@
 
 async fn read(answer: &mut Answer, is_resumable: bool) -> Result<Option<Bytes>, LinkError> {
     if !is_resumable {
-        // Silence gives no grounds for ending an answer that cannot go on elsewhere.
+        // A stream that cannot be resumed is not ended because of silence.
         return answer.next_bytes().await;
     }
-    let read = tokio::time::timeout(SILENCE, answer.next_bytes()).await;
+    let read = tokio::time::timeout(SILENCE_TIMEOUT, answer.next_bytes()).await;
     read.unwrap_or(Err(LinkError::TimedOut))
 }
--- a/crates/gateway/src/responses.rs
+++ b/crates/gateway/src/responses.rs
@@ -1,4 +1,4 @@
-//! Parts that the answers to all kinds of calls are made of.
+//! Helpers that build HTTP responses, shared by the servers for calls, batches and peers.
 
 use std::time::Duration;
 
@@ -10,27 +10,28 @@
 
 use crate::relay::StreamBroken;
 
-/// Body of an answer.
+/// Body of a response; an error in it breaks the connection.
 pub(crate) type Body = UnsyncBoxBody<Bytes, StreamBroken>;
 
-/// Time after which callers whose call could not be served at this moment may come back.
+/// Retry delay for callers whose call cannot be served now, where nothing better is known.
 pub(crate) const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// A body that is there whole.
+/// A body whose bytes are all in memory.
 pub(crate) fn full_body(bytes: Bytes) -> Body {
     Full::new(bytes)
         .map_err(|never| match never {})
         .boxed_unsync()
 }
 
-/// An answer without a body.
+/// A response without a body.
 pub(crate) fn empty_response(status: StatusCode) -> Response<Body> {
     let mut response = Response::new(full_body(Bytes::new()));
     *response.status_mut() = status;
     response
 }
 
-/// A refusal that tells the caller when to come back, in seconds with fractions.
+/// A response without a body whose `retry-after` header gives the delay before a retry, in seconds with three
+/// decimals.
 pub(crate) fn refuse(status: StatusCode, retry_after: Duration) -> Response<Body> {
     let mut response = empty_response(status);
     let seconds = format!("{:.3}", retry_after.as_secs_f64());
--- a/crates/gateway/src/reward_limiter.rs
+++ b/crates/gateway/src/reward_limiter.rs
@@ -1,9 +1,9 @@
-//! Reward calls wait in this node for their turn, so that no more are under way to a pool than it takes.
+//! Limits the reward calls that this node has in flight to each pool; further ones wait.
 //!
-//! The load that this answers: the items of a step end together and bring hundreds of reward calls at once to a
-//! pool of a few applications. Turned away, they were tried again each 8 ms; that, and the connections for it,
-//! took the places that callers' requests needed. 150 calls to 4 places of 20 ms are turned away 190 times
-//! instead of 3,421 to 3,900 (`tests/reward_limiter.rs`).
+//! The items of a training step end together and cause hundreds of reward calls at once to a pool of a few
+//! applications. Without a limit, each rejected call is sent again every 8 ms, and these retries and their
+//! connections take the slots that callers' requests need: 150 calls to 4 slots of 20 ms are rejected 3,421 to
+//! 3,900 times without the limit and 190 times with it (`tests/reward_limiter.rs`).
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -14,28 +14,28 @@
 
 use crate::edge::NodeClock;
 
-/// Waiters that are woken when a call ends: the one that takes its place, and one more as the limit may have risen.
-const WOKEN_BY_AN_END: usize = 2;
+/// Waiters that are woken when a call ends: one for the freed slot, and one more because the limit may have risen.
+const WAITERS_WOKEN_PER_END: usize = 2;
 
-/// The limits of all pools.
+/// Concurrency limits of the reward calls of this node, one for each pool.
 pub(crate) struct RewardLimiter {
     clock: NodeClock,
     pools: Mutex<HashMap<PoolName, Arc<PoolLimiter>>>,
 }
 
-/// The limit of a pool, and those who wait for it. Each pool has waiters of its own: with one queue for all, those
-/// of a slow pool were woken by the ends of another one's calls and left its places empty.
+/// Limit of one pool, and the calls that wait for it. Each pool has its own waiters: with one queue for all pools, the
+/// end of a call to a fast pool would wake waiters of a slow one, and slots of the fast pool would stay empty.
 #[derive(Default)]
 struct PoolLimiter {
     limit: Mutex<ConcurrencyLimit>,
     ended: Notify,
 }
 
-/// The right to have one reward call under way.
+/// Permit to have one reward call in flight. Dropping it frees the slot.
 pub(crate) struct RewardPermit {
     clock: NodeClock,
     pool: Arc<PoolLimiter>,
-    /// This node's even share of the pool's places.
+    /// This node's even share of the pool's slots.
     share: u32,
     end: CallEnd,
 }
@@ -48,8 +48,8 @@
         }
     }
 
-    /// Waits until one more reward call may be made to a pool.
-    /// `share` is this node's even share of the pool's places.
+    /// Waits until one more reward call may be made to a pool. `share` is this node's even share of the pool's
+    /// slots.
     pub(crate) async fn acquire(&self, pool: &PoolName, share: u32) -> RewardPermit {
         let pool = self.pool(pool);
         loop {
@@ -80,7 +80,7 @@
 }
 
 impl RewardPermit {
-    /// The call has ended so.
+    /// Frees the slot and records how the call ended, from which the limit is adjusted.
     pub(crate) fn finish(mut self, end: CallEnd) {
         self.end = end;
     }
@@ -90,7 +90,7 @@
     fn drop(&mut self) {
         let now = self.clock.now();
         self.pool.lock().record_end(self.end, self.share, now);
-        for _ in 0..WOKEN_BY_AN_END {
+        for _ in 0..WAITERS_WOKEN_PER_END {
             self.pool.ended.notify_one();
         }
     }
--- a/crates/gateway/src/send.rs
+++ b/crates/gateway/src/send.rs
@@ -1,4 +1,4 @@
-//! One send of a call to one back end, and what its answer proves.
+//! Sends a call to one back end and classifies the result: answered, not run, or may have run.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,30 +17,32 @@
 use crate::crash_evidence::{self, UnansweredSend};
 use crate::crash_guard;
 
-/// Longest body of an answer that is read whole before it is passed on.
-const MOST_ANSWER_BYTES: usize = 32 * 1024 * 1024;
+/// Maximum size of an answer's body that is read whole before it is forwarded.
+const MAX_ANSWER_BYTES: usize = 32 * 1024 * 1024;
 
-/// A send of which nothing was written, as its time was over or its batch may have ended.
+/// Reason of a send of which nothing was written, because its deadline had passed or its batch may have ended.
 const TOO_LATE: &str = "too_late";
-/// A send whose connection broke before the head of an answer.
+/// Reason of a send whose connection broke before the head of an answer.
 const BROKEN: &str = "broken";
-/// A send whose answer ended early.
+/// Reason of a send whose answer's body ended early.
 const CUT_SHORT: &str = "cut_short";
-/// Time without a head after which a kept connection may count as silent, for work that would be begun
-/// anew: an engine reads the input before it answers.
+/// Time without the head of an answer after which a reused connection may count as silent, for work that another
+/// back end would have to start from the beginning: an engine processes the whole input before it answers.
 pub(crate) const HEAD_SILENCE_TIMEOUT: Duration = Duration::from_millis(600);
-/// Outcome of a send without an answer.
+/// Reason of a send that got no answer in time.
 pub(crate) const SILENT: &str = "silent";
 
-/// What a call says of one send of it.
+/// Time limits of one send of a call.
 pub(crate) struct SendTerms {
-    /// When it is given up.
-    pub(crate) ends: Instant,
-    /// Since when an earlier send of the call has no answer. What silenced that one may have silenced
-    /// this back end's connections too: only one that was heard from since is used, or a new one.
+    /// Time at which the send is given up.
+    pub(crate) deadline: Instant,
+    /// Time since which an earlier send of the call has no answer. The fault that silenced it may also have
+    /// silenced connections to this back end, so only a connection that has received data since, or a new one, is
+    /// used.
     pub(crate) unanswered_since: Option<Instant>,
-    /// Whether it is given up as soon as its connection is seen to be silent, to go on elsewhere.
-    pub(crate) ends_when_silent: bool,
+    /// Whether the send is given up as soon as its connection counts as silent, so that another back end can take
+    /// over.
+    pub(crate) gives_up_on_silence: bool,
 }
 
 impl SendTerms {
@@ -49,7 +51,7 @@
         if let Some(moment) = self.unanswered_since {
             sending = sending.over_one_heard_since(moment);
         }
-        if self.ends_when_silent {
+        if self.gives_up_on_silence {
             sending = sending
                 .patient_for(HEAD_SILENCE_TIMEOUT)
                 .ended_when_silent();
@@ -58,7 +60,7 @@
     }
 }
 
-/// How one send ended.
+/// Outcome of one send. The text in `NotRun` and `MayHaveRun` is the reason that is logged.
 pub(crate) enum SendOutcome {
     Answered(WholeAnswer),
     Streaming(Box<StartedStream>),
@@ -67,7 +69,7 @@
 }
 
 impl SendOutcome {
-    /// Its name in lines.
+    /// Name of the outcome in log lines.
     pub(crate) fn name(&self) -> &'static str {
         match self {
             Self::Answered(answer) if answer.status.is_server_error() => "failed",
@@ -78,13 +80,13 @@
     }
 }
 
-/// A stream that a back end has begun.
+/// A stream whose head a back end has sent.
 pub(crate) struct StartedStream {
     pub(crate) answer: Answer,
     pub(crate) backend: ChosenBackend,
 }
 
-/// Sends a call to a back end and judges the back end by what comes.
+/// Sends a call to a back end and records the outcome for the back end's health and for crash detection.
 pub(crate) async fn send(
     context: &Arc<Context>,
     chosen: ChosenBackend,
@@ -92,10 +94,10 @@
     terms: &SendTerms,
 ) -> SendOutcome {
     let (backend, link) = (chosen.id.clone(), chosen.link.clone());
-    let began = Instant::now();
-    let left = terms.ends.saturating_duration_since(began);
+    let started_at = Instant::now();
+    let left = terms.deadline.saturating_duration_since(started_at);
     let request = backend_request(context, &chosen, call, left);
-    let answer = match call.write_by(context, terms.ends) {
+    let answer = match call.write_by(context, terms.deadline) {
         Some(write_by) => {
             let sending = terms.sending(left).written_by(write_by);
             chosen.link.send_as(request, sending).await
@@ -103,25 +105,25 @@
         None => Err(LinkError::TooLate),
     };
     let outcome = read_answer(context, chosen, call, answer).await;
-    judge_backend(context, &backend, &outcome, began);
+    record_health(context, &backend, &outcome, started_at);
     match &outcome {
         SendOutcome::Answered(answer) => {
             let is_success = answer.status.is_success();
             crash_guard::answered(context, &backend, is_success, || call.fingerprint());
         }
         SendOutcome::MayHaveRun(BROKEN | CUT_SHORT) => {
-            crash_evidence::send_broke(context, unanswered(call, backend, link)).await;
+            crash_evidence::send_broke(context, unanswered_send(call, backend, link)).await;
         }
         SendOutcome::MayHaveRun(SILENT) => {
-            crash_evidence::send_given_up(context, unanswered(call, backend, link));
+            crash_evidence::send_given_up(context, unanswered_send(call, backend, link));
         }
         SendOutcome::Streaming(_) | SendOutcome::NotRun(_) | SendOutcome::MayHaveRun(_) => {}
     }
     outcome
 }
 
-/// A send of a call that got no whole answer.
-pub(crate) fn unanswered(call: &Call, backend: BackendId, link: Link) -> UnansweredSend {
+/// Describes a send that got no complete answer, for crash detection.
+pub(crate) fn unanswered_send(call: &Call, backend: BackendId, link: Link) -> UnansweredSend {
     UnansweredSend {
         request: call.fingerprint(),
         id: call.id_text(),
@@ -131,19 +133,24 @@
     }
 }
 
-/// Notes what the end of a send says of its back end.
-fn judge_backend(context: &Context, backend: &BackendId, outcome: &SendOutcome, began: Instant) {
+/// Records the outcome of a send in the health of its back end.
+fn record_health(
+    context: &Context,
+    backend: &BackendId,
+    outcome: &SendOutcome,
+    started_at: Instant,
+) {
     let now = context.now();
     let mut backends = context.backends.lock();
     match outcome {
         SendOutcome::Answered(answer) if answer.status.is_success() => {
-            let took = began.elapsed().as_millis() as u64;
+            let took = started_at.elapsed().as_millis() as u64;
             backends.health.record_answer(backend, Some(took));
         }
         SendOutcome::Answered(_) | SendOutcome::Streaming(_) => {
             backends.health.record_answer(backend, None);
         }
-        // No fault of the back end.
+        // Nothing was sent, so this is no failure of the back end.
         SendOutcome::NotRun(TOO_LATE) => {}
         SendOutcome::NotRun(_) | SendOutcome::MayHaveRun(_) => {
             backends.health.record_failure(backend, now)
@@ -151,7 +158,8 @@
     }
 }
 
-/// The call as it goes to a back end, with the time that is left.
+/// Builds the request for a back end. The deadline header carries `left`, the remaining time in milliseconds (at
+/// least 1).
 pub fn backend_request(
     context: &Context,
     chosen: &ChosenBackend,
@@ -189,14 +197,14 @@
         Err(_) => return SendOutcome::MayHaveRun(BROKEN),
     };
     let names = context.dialect.headers();
-    let is_ours = answer.headers().get(&names.request_id) == Some(&call.id);
+    let has_request_id = answer.headers().get(&names.request_id) == Some(&call.id);
     if context
         .dialect
         .is_not_run(answer.status(), answer.headers())
     {
         return not_run_unless_foreign(context, answer, &call.id).await;
     }
-    if !is_ours {
+    if !has_request_id {
         return SendOutcome::MayHaveRun("foreign_answer");
     }
     if answer.status().is_success() && !answer.headers().contains_key(&names.signature) {
@@ -208,13 +216,13 @@
             backend: chosen,
         }));
     }
-    match answer.whole(MOST_ANSWER_BYTES).await {
+    match answer.whole(MAX_ANSWER_BYTES).await {
         Ok(whole) => SendOutcome::Answered(whole),
         Err(_) => SendOutcome::MayHaveRun(CUT_SHORT),
     }
 }
 
-/// An answer "not run" counts only if it does not name another request.
+/// Outcome of an answer "not run", which counts only if it does not carry the id of another request.
 async fn not_run_unless_foreign(
     context: &Context,
     answer: Answer,
@@ -224,8 +232,8 @@
     if named.is_some_and(|named| named != id) {
         return SendOutcome::MayHaveRun("foreign_answer");
     }
-    // Read to the end, so that the connection is kept.
-    let _ = answer.whole(MOST_ANSWER_BYTES).await;
+    // The body is read to its end so that the connection can be reused.
+    let _ = answer.whole(MAX_ANSWER_BYTES).await;
     SendOutcome::NotRun("turned_away")
 }
 
@@ -236,7 +244,7 @@
     value.is_some_and(|value| value.starts_with("text/event-stream"))
 }
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers, which concern a single connection.
 const CONNECTION_HEADERS: [HeaderName; 7] = [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
@@ -246,10 +254,11 @@
     header::TRANSFER_ENCODING,
     header::UPGRADE,
 ];
-/// Such headers without a name in the library.
-const MORE_CONNECTION_HEADERS: [&str; 2] = ["keep-alive", "proxy-connection"];
+/// Hop-by-hop headers for which the `http` crate has no constant.
+const UNREGISTERED_CONNECTION_HEADERS: [&str; 2] = ["keep-alive", "proxy-connection"];
 
-/// Removes headers that concern one connection only, and the length, which is set anew.
+/// Removes hop-by-hop headers, those that `connection` names, `expect`, and the length, which is set again when
+/// the message is sent.
 pub fn remove_connection_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -261,7 +270,7 @@
     for name in named.iter().chain(&CONNECTION_HEADERS) {
         headers.remove(name);
     }
-    for name in MORE_CONNECTION_HEADERS {
+    for name in UNREGISTERED_CONNECTION_HEADERS {
         headers.remove(name);
     }
     headers.remove(header::CONTENT_LENGTH);
--- a/crates/gateway/src/stream_view.rs
+++ b/crates/gateway/src/stream_view.rs
@@ -1,4 +1,4 @@
-//! One partition of a stream as this node knows it, and how fresh that knowledge is.
+//! This node's copy of one log partition: the state folded from its records, and how current that state is.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -21,58 +21,58 @@
 use crate::edge::{LogError, LogPage, NodeClock, SharedLog, StreamPartition};
 use crate::failed_reads::FailedReads;
 
-/// A state that is a fold over the records of a partition.
+/// A state that is built by applying the records of a partition in order.
 pub trait StreamState {
-    /// Takes the next record's bytes; false if they cannot be read.
-    fn take(&mut self, bytes: &[u8], now: Millis) -> bool;
+    /// Decodes and applies the next record; false if it cannot be decoded.
+    fn apply_bytes(&mut self, bytes: &[u8], now: Millis) -> bool;
 
-    /// Records behind those that were read, and before the next one, are gone from the log. States that
-    /// don't depend on every single record go on.
-    fn missed_records(&mut self, _now: Millis) {}
+    /// Called when the log has dropped records between the last one applied and the next one. By default the state is
+    /// kept, for states that don't depend on every single record.
+    fn handle_dropped_records(&mut self, _now: Millis) {}
 }
 
 impl StreamState for PartitionState {
-    fn take(&mut self, bytes: &[u8], now: Millis) -> bool {
+    fn apply_bytes(&mut self, bytes: &[u8], now: Millis) -> bool {
         let record = BatchRecord::decode(bytes);
         record.map(|record| self.apply(record, now)).is_ok()
     }
 
-    fn missed_records(&mut self, now: Millis) {
+    fn handle_dropped_records(&mut self, now: Millis) {
         PartitionState::drop_incomplete_batches(self, now);
     }
 }
 
 impl StreamState for ControlState {
-    fn take(&mut self, bytes: &[u8], now: Millis) -> bool {
+    fn apply_bytes(&mut self, bytes: &[u8], now: Millis) -> bool {
         let record = ControlRecord::decode(bytes);
         record.map(|record| self.apply(record, now)).is_ok()
     }
 }
 
 impl StreamState for DigestState {
-    fn take(&mut self, bytes: &[u8], now: Millis) -> bool {
+    fn apply_bytes(&mut self, bytes: &[u8], now: Millis) -> bool {
         let record = DigestRecord::decode(bytes);
         record.map(|record| self.apply(record, now)).is_ok()
     }
 }
 
 impl StreamState for Occupancy {
-    fn take(&mut self, bytes: &[u8], now: Millis) -> bool {
+    fn apply_bytes(&mut self, bytes: &[u8], now: Millis) -> bool {
         let record = OccupancyRecord::decode(bytes);
         record.map(|record| self.apply(record, now)).is_ok()
     }
 }
 
 impl StreamState for UsageTotals {
-    fn take(&mut self, bytes: &[u8], _now: Millis) -> bool {
+    fn apply_bytes(&mut self, bytes: &[u8], _now: Millis) -> bool {
         let record = UsageRecord::decode(bytes);
         record.map(|record| self.apply(record)).is_ok()
     }
 }
 
-/// A partition's state, shared by its follower and all that look at it.
+/// A partition's state, shared by the task that follows the partition and all readers of the state.
 pub struct StreamView<S> {
-    /// Which partition it is.
+    /// The partition that this view shows.
     pub id: StreamPartition,
     inner: Mutex<ViewInner<S>>,
     changed: Notify,
@@ -80,18 +80,18 @@
     wanted_until: AtomicU64,
     /// Whether this node's own work needs the partition.
     is_needed: AtomicBool,
-    /// Whether a task follows it.
+    /// Whether a task follows the partition.
     has_follower: AtomicBool,
     wakes: Arc<Notify>,
-    /// Held while a question is asked, so that all who wait for its answer share one call.
+    /// Held during a read that confirms the state, so that concurrent requests share one read.
     confirming: tokio::sync::Mutex<()>,
 }
 
-/// What is behind the lock.
+/// The part of a view that its lock protects.
 pub struct ViewInner<S> {
-    /// The fold.
+    /// State after all records before `next`.
     pub state: S,
-    /// Offset of the next record to be read.
+    /// Offset in the log of the next record to be read.
     pub next: u64,
     joiner: Joiner,
     confirmed: Option<Millis>,
@@ -99,81 +99,86 @@
     readable_since: Millis,
     is_caught_up: bool,
     failed: FailedReads,
-    /// Whether it was told that the first records were gone before anything was read.
-    has_told_lost_beginning: bool,
-    /// Time between two reads that is nothing unusual.
+    /// Whether it was already logged that the partition's first records were dropped before anything was read.
+    has_logged_lost_beginning: bool,
+    /// Expected time between two reads in milliseconds, set by the follower. It extends the gap after which the
+    /// partition counts as not being read.
     pub expected_read_interval_ms: Millis,
 }
 
 impl<S> ViewInner<S> {
-    /// When the question was asked whose answer last showed that nothing is missing here.
+    /// Start time of the last read whose answer showed that the state holds all records of the log; `None` before
+    /// the first one.
     pub fn confirmed_at(&self) -> Option<Millis> {
         self.confirmed
     }
 
-    /// Until when what is known here may be acted on, if it may up to `most_age` after it was confirmed;
-    /// `None` if it never was. Reads that fail here change nothing: the log may serve other nodes.
-    pub fn usable_until(&self, most_age: Millis) -> Option<Millis> {
-        self.confirmed.map(|confirmed| confirmed + most_age)
+    /// Time until which this node may act on the state, which is `max_age` after it was last confirmed; `None` if it
+    /// never was. Failed reads don't change this: the log may still serve other nodes.
+    pub fn usable_until(&self, max_age: Millis) -> Option<Millis> {
+        self.confirmed.map(|confirmed| confirmed + max_age)
     }
 
-    /// Whether the state is the fold of whole values up to `next`, with none half read.
+    /// Whether every value read so far is complete. A value may be split over several records, and the state is
+    /// only consistent with `next` between two values.
     pub fn is_between_values(&self) -> bool {
         self.joiner.is_between_values()
     }
 
-    /// Whether all that was in the log at that time is known here.
+    /// Whether the state holds all records that were in the log at time `oldest`.
     fn is_known_since(&self, oldest: Millis) -> bool {
         self.confirmed.is_some_and(|at| at >= oldest)
     }
 
     fn is_current(&self, now: Millis) -> bool {
-        let longest_gap = LONGEST_GAP_MS + self.expected_read_interval_ms;
-        self.last_success > 0 && now.saturating_sub(self.last_success) <= longest_gap
+        let max_gap_ms = MAX_READ_GAP_MS + self.expected_read_interval_ms;
+        self.last_success > 0 && now.saturating_sub(self.last_success) <= max_gap_ms
     }
 }
 
 impl<S: StreamState> ViewInner<S> {
-    /// Skips the records before `first`, which were dropped before they were read here. Answers the offset
-    /// from which they were skipped, if that is to be told.
+    /// Skips the records before `first`, which the log dropped before they were read here. Returns the offset
+    /// from which records were skipped, if that is to be logged.
     fn skip_to(&mut self, first: u64, now: Millis) -> Option<u64> {
         if first <= self.next {
             return None;
         }
         let from = std::mem::replace(&mut self.next, first);
         self.joiner = Joiner::default();
-        // A partition whose beginning is past its retention is whole from the first record kept on.
+        // If nothing was read before, the state is complete from the first record that the log retains.
         if from > 0 {
-            self.state.missed_records(now);
+            self.state.handle_dropped_records(now);
         }
-        self.tells_skip(from).then_some(from)
+        self.should_log_skip(from).then_some(from)
     }
 
-    /// A partition whose beginning is past its retention is read from 0 again each time that it was
-    /// forgotten and somebody asks: that is told once in the life of the process.
-    fn tells_skip(&mut self, from: u64) -> bool {
-        from > 0 || !std::mem::replace(&mut self.has_told_lost_beginning, true)
+    /// Whether to log a skip. A partition that was forgotten is read from offset 0 again when it is requested; if its
+    /// beginning is past the log's retention, that skip is logged only once per process.
+    fn should_log_skip(&mut self, from: u64) -> bool {
+        from > 0 || !std::mem::replace(&mut self.has_logged_lost_beginning, true)
     }
 }
 
-/// Time between two successful reads up to which nothing can have been missed.
-const LONGEST_GAP_MS: Millis = 2_500;
+/// Maximum time between two successful reads, besides the expected interval, for the partition to count as read
+/// without a gap.
+const MAX_READ_GAP_MS: Millis = 2_500;
 
-/// Time for which a partition that was asked about is followed, and read without waits: a little
-/// longer than a reader may wait.
+/// Time after a request during which the partition is followed and read without pauses; a little longer
+/// than a reader may wait.
 const WANTED_MS: Millis = 1_200;
 
-/// What a page brought.
+/// Counts of the values that a page completed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PageOutcome {
-    /// Records taken.
+    /// Number of values that were applied to the state.
     pub applied: usize,
-    /// Records that could not be read.
+    /// Number of values that could not be decoded and were skipped.
     pub unreadable: usize,
 }
 
 impl<S: StreamState> StreamView<S> {
-    /// A partition of which nothing was read yet; changes wake `wakes`, the task that acts on them.
+    /// Creates the view of a partition of which nothing was read yet. Every change notifies `wakes`, on which the task
+    /// waits that acts on changes.
     pub fn new(id: StreamPartition, state: S, wakes: Arc<Notify>) -> Self {
         let inner = ViewInner {
             state,
@@ -184,7 +189,7 @@
             readable_since: 0,
             is_caught_up: false,
             failed: FailedReads::default(),
-            has_told_lost_beginning: false,
+            has_logged_lost_beginning: false,
             expected_read_interval_ms: 0,
         };
         Self {
@@ -200,45 +205,46 @@
         }
     }
 
-    /// The state.
+    /// Locks the state and its position.
     pub fn lock(&self) -> MutexGuard<'_, ViewInner<S>> {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Wakes at the next change.
+    /// Returns a future that completes at the next change of the state.
     pub fn changed(&self) -> tokio::sync::futures::Notified<'_> {
         self.changed.notified()
     }
 
-    /// Somebody asks about this partition: it is read without waits for a while.
+    /// Records a request for this partition, which is followed and read without pauses for a while.
     pub fn want(&self, now: Millis) {
         self.wanted_until
             .fetch_max(now + WANTED_MS, Ordering::Relaxed);
         self.wanted.notify_one();
     }
 
-    /// Whether somebody asked about this partition a moment ago.
+    /// Whether the partition was requested within the last 1.2 seconds.
     pub fn is_wanted(&self, now: Millis) -> bool {
         self.wanted_until.load(Ordering::Relaxed) > now
     }
 
-    /// Says whether this node's own work needs the partition.
+    /// Sets whether this node's own work needs the partition.
     pub fn set_needed(&self, is_needed: bool) {
         self.is_needed.store(is_needed, Ordering::Relaxed);
     }
 
-    /// Whether the partition is to be followed: this node's own work needs it, or somebody asks.
+    /// Whether the partition is to be followed: this node's own work needs it, or it was requested recently.
     pub fn is_followed(&self, now: Millis) -> bool {
         self.is_needed.load(Ordering::Relaxed) || self.is_wanted(now)
     }
 
-    /// Whether a task must be started to follow it; there is one at a time.
+    /// Marks the partition as followed; true if the caller must start the task that follows it. There is one such
+    /// task at a time.
     pub fn begin_following(&self) -> bool {
         !self.has_follower.swap(true, Ordering::AcqRel)
     }
 
-    /// Whether the task that follows it may end: nobody needs it, and none that asks from now on
-    /// relies on this task.
+    /// Whether the task that follows the partition may end. If so, the partition is marked as not followed, so that
+    /// the next request starts a new task.
     pub fn end_following(&self, now: Millis) -> bool {
         if self.is_followed(now) {
             return false;
@@ -247,16 +253,16 @@
         !(self.is_followed(now) && self.begin_following())
     }
 
-    /// Waits between two reads, unless somebody asks about this partition.
+    /// Waits for `gap` between two reads; returns early when the partition is requested.
     pub async fn wait_between_reads(&self, gap: Duration, now: Millis) {
         if gap.is_zero() || self.is_wanted(now) {
             return;
         }
-        // A wish ends the wait early.
+        // A request ends the wait early.
         let _ = tokio::time::timeout(gap, self.wanted.notified()).await;
     }
 
-    /// Takes a page that was asked for at `asked`.
+    /// Applies a page of records whose read started at `asked`; records that were already applied are skipped.
     pub fn apply_page(&self, page: LogPage, asked: Millis, now: Millis) -> PageOutcome {
         let mut inner = self.lock();
         if !inner.is_current(now) {
@@ -274,7 +280,7 @@
             let Some(value) = inner.joiner.push(record) else {
                 continue;
             };
-            if inner.state.take(&value, now) {
+            if inner.state.apply_bytes(&value, now) {
                 outcome.applied += 1;
             } else {
                 outcome.unreadable += 1;
@@ -285,7 +291,7 @@
             inner.confirmed = Some(inner.confirmed.unwrap_or(0).max(asked));
         }
         drop(inner);
-        self.tell_skip(skipped_from, page.from);
+        self.log_skip(skipped_from, page.from);
         if outcome.applied > 0 {
             self.changed.notify_waiters();
             self.wakes.notify_one();
@@ -293,7 +299,7 @@
         outcome
     }
 
-    /// Takes a state up instead of reading the records before `next`; false if more is known here.
+    /// Installs a state that holds all records before `next`; false if this view is at least as far.
     pub fn restore(&self, state: S, next: u64) -> bool {
         let mut inner = self.lock();
         let is_ahead = next > inner.next;
@@ -308,42 +314,43 @@
         is_ahead
     }
 
-    /// A read failed: what was not seen until the next success may have been there.
+    /// Records a failed read. The partition counts as not being read until the next success, because records may be
+    /// missed until then.
     pub fn read_failed(&self) {
         self.lock().last_success = 0;
     }
 
-    /// Whether the partition is read at this time, without a gap.
+    /// Whether the partition is being read now, without a gap.
     pub fn is_current(&self, now: Millis) -> bool {
         self.lock().is_current(now)
     }
 
-    /// Whether what is known here may be acted on: it is at most `most_age` old.
-    pub fn is_usable(&self, now: Millis, most_age: Millis) -> bool {
-        let until = self.lock().usable_until(most_age);
+    /// Whether this node may act on the state: it was confirmed at most `max_age` ago.
+    pub fn is_usable(&self, now: Millis, max_age: Millis) -> bool {
+        let until = self.lock().usable_until(max_age);
         until.is_some_and(|until| now <= until)
     }
 
-    /// Whether there is more to be read than what comes in as it is written.
+    /// Whether older records are still to be read, or the partition is not being read without a gap.
     pub fn is_behind(&self, now: Millis) -> bool {
         let inner = self.lock();
         !inner.is_caught_up || !inner.is_current(now)
     }
 
-    /// Since when the log could be read without a gap; `None` if it is not read at this time.
+    /// Time since which the log has been read without a gap; `None` if it is not being read now.
     pub fn readable_since(&self, now: Millis) -> Option<Millis> {
         let inner = self.lock();
         inner.is_current(now).then_some(inner.readable_since)
     }
 
-    /// Skips records that the log no longer has.
+    /// Skips the records before `first`, which the log no longer holds.
     pub fn skip_to(&self, first: u64, now: Millis) {
         let skipped_from = self.lock().skip_to(first, now);
-        self.tell_skip(skipped_from, first);
+        self.log_skip(skipped_from, first);
     }
 
-    /// What those records said is not known here, though they were acknowledged.
-    fn tell_skip(&self, skipped_from: Option<u64>, first: u64) {
+    /// Logs a skip. The skipped records had been acknowledged, but this node never reads them.
+    fn log_skip(&self, skipped_from: Option<u64>, first: u64) {
         let Some(from) = skipped_from else {
             return;
         };
@@ -351,29 +358,28 @@
             first = first; "");
     }
 
-    /// Makes sure that all that was in the log `most_age` ago is known here. Those who ask at the same
-    /// time share a call and its failure.
+    /// Makes sure that the state holds all records that were in the log `max_age` ago, by a read if necessary.
+    /// Concurrent callers share one read and its error. Returns the error of the log if the read fails.
     pub async fn confirm(
         &self,
         log: &dyn SharedLog,
         clock: NodeClock,
-        most_age: Duration,
+        max_age: Duration,
     ) -> Result<(), LogError> {
-        self.confirm_since(log, clock, oldest(clock, most_age))
+        self.confirm_since(log, clock, oldest_read_start(clock, max_age))
             .await
     }
 
-    /// The same for callers who wait: a failure is no answer to them while the next try may still reach
-    /// them, so the log is asked again until `until`. Loading a partition takes several reads in a row;
-    /// those that succeeded are not repeated.
+    /// Like [`confirm`](Self::confirm), but retries failed reads until `until` and then returns the last error.
+    /// Loading a partition takes several reads in a row; those that succeeded are not repeated.
     pub async fn confirm_until(
         &self,
         log: &dyn SharedLog,
         clock: NodeClock,
-        most_age: Duration,
+        max_age: Duration,
         until: Instant,
     ) -> Result<(), LogError> {
-        let oldest = oldest(clock, most_age);
+        let oldest = oldest_read_start(clock, max_age);
         loop {
             if self.lock().is_known_since(oldest) {
                 return Ok(());
@@ -385,7 +391,7 @@
                     return Err(failed.error);
                 }
                 tokio::time::sleep(pause).await;
-                // Another caller's try may have failed meanwhile, and counts for this one too.
+                // Another caller's try may have failed in the meantime, and that delays this caller too.
                 continue;
             }
             match self.confirm_since(log, clock, oldest).await {
@@ -417,7 +423,7 @@
                     self.apply_page(page, asked, clock.now());
                     self.lock().failed.end();
                 }
-                // One that leads no further is a failure, else this loop would never end.
+                // A `first` that is not past `from` counts as a failure; otherwise this loop would not end.
                 Err(LogError::HistoryDropped { first }) if first > from => {
                     self.skip_to(first, clock.now());
                 }
@@ -432,10 +438,10 @@
 }
 
 impl StreamView<PartitionState> {
-    /// Forgets all, if every batch was first seen before `before`: the partition is read from its start
-    /// when somebody asks again, so that nothing is forgotten here that the log still holds. Only for a
-    /// partition that no task follows; one that is being read is left as it is, since the page on its way
-    /// begins where this node was.
+    /// Resets the view if every batch in it was first seen before `before`. The partition is then read from its start
+    /// at the next request, so that records the log still holds are not lost. Only for a partition that no task
+    /// follows. A partition that is being read is left unchanged, because the page in flight starts at the old
+    /// offset.
     pub fn forget_if_older_than(&self, before: Millis) {
         let Ok(_turn) = self.confirming.try_lock() else {
             return;
@@ -451,7 +457,7 @@
     }
 }
 
-/// When the question must have been asked whose answer is at most `most_age` old.
-fn oldest(clock: NodeClock, most_age: Duration) -> Millis {
-    clock.now().saturating_sub(most_age.as_millis() as Millis)
+/// Earliest start of a read whose answer is at most `max_age` old.
+fn oldest_read_start(clock: NodeClock, max_age: Duration) -> Millis {
+    clock.now().saturating_sub(max_age.as_millis() as Millis)
 }
