--- a/crates/gateway/tests/callers_that_leave.rs
+++ b/crates/gateway/tests/callers_that_leave.rs
@@ -1,4 +1,4 @@
-//! Callers that close their connection: what ran for them ends, and nothing more is begun.
+//! Callers that close their connection: their requests are cancelled at back ends, and nothing more is sent for them.
 
 mod support;
 
@@ -17,33 +17,34 @@
 use support::deployment::{APPLICATIONS, Deployment, listed, routing, wait_until};
 use support::dialect::write_batch;
 use support::leaving::{
-    CALLS, LATER, PROMISED, STREAMS, at_work, connect, expect_an_end,
-    expect_an_end_with_the_caller, request, send_bytes, sends, silent_deployment, wait_for_sends,
+    CALLS, CANCEL_TIMEOUT, RESEND_WAIT, STREAMS, connect, expect_cancellation,
+    expect_cancellation_when_caller_leaves, received_requests, request, running_requests,
+    send_bytes, silent_deployment, wait_for_received_requests,
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
 #[tokio::test]
-async fn a_call_ends_with_its_caller() {
+async fn a_call_is_cancelled_when_its_caller_leaves() {
     for path in CALLS {
-        expect_an_end_with_the_caller(path).await;
+        expect_cancellation_when_caller_leaves(path).await;
     }
 }
 
-/// A connection that its caller won't use again is watched like any other.
+/// The close of a connection that won't be used for another request is detected like any other.
 #[tokio::test]
-async fn a_call_on_a_connection_that_is_not_kept_ends_with_its_caller() {
+async fn a_call_with_connection_close_is_cancelled_when_its_caller_leaves() {
     let deployment = silent_deployment().await;
     let node = deployment.node("a").await;
     let bytes = request("/calls/path", "left", "connection: close\r\n");
     let caller = send_bytes(&node, &bytes).await;
-    wait_for_sends(&deployment, 1).await;
+    wait_for_received_requests(&deployment, 1).await;
     drop(caller);
-    expect_an_end(&deployment, "connection: close").await;
+    expect_cancellation(&deployment, "connection: close").await;
 }
 
-/// The back end accepts the connection only after the caller has left. Bytes that its system had taken
-/// by then can't be taken back, but a reset stands behind them, and nothing more comes.
+/// The back end accepts the connection only after the caller has left. Bytes that its operating system has received
+/// by then can't be withdrawn, but they are followed by a reset, and no further connection carries the call.
 #[tokio::test]
 async fn a_back_end_that_reads_late_finds_the_connection_reset() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -69,33 +70,33 @@
         let caller = send_bytes(&node, &request(path, "left", "")).await;
         tokio::time::sleep(Duration::from_millis(200)).await;
         drop(caller);
-        tokio::time::sleep(PROMISED).await;
+        tokio::time::sleep(CANCEL_TIMEOUT).await;
         let (mut late, _) = listener.accept().await.unwrap();
         let mut bytes = Vec::new();
         let read = late.read_to_end(&mut bytes).await;
         let error = read.expect_err("the connection was given up");
         assert_eq!(error.kind(), ErrorKind::ConnectionReset, "{path}");
-        // The node looked whether the back end ended under the call; nothing was sent with that.
-        let (mut look, _) = listener.accept().await.unwrap();
-        assert_eq!(look.read_to_end(&mut bytes).await.unwrap(), 0, "{path}");
+        // The node opened a connection to check whether the back end crashed under the call, and sent nothing on it.
+        let (mut probe, _) = listener.accept().await.unwrap();
+        assert_eq!(probe.read_to_end(&mut bytes).await.unwrap(), 0, "{path}");
     }
-    let more = tokio::time::timeout(LATER, listener.accept()).await;
+    let more = tokio::time::timeout(RESEND_WAIT, listener.accept()).await;
     assert!(more.is_err(), "sent again");
 }
 
 #[tokio::test]
-async fn a_call_that_waits_between_tries_ends_with_its_caller() {
+async fn a_call_that_waits_between_sends_is_cancelled_when_its_caller_leaves() {
     let deployment = Deployment::start(0, 2).await;
     let node = deployment.node("a").await;
-    let mut patient: RoutingConfig = routing(2);
-    for route in &mut patient.routes {
-        // Long enough that the call is still tried when its caller has left.
+    let mut long_routes: RoutingConfig = routing(2);
+    for route in &mut long_routes.routes {
+        // Long enough that the call would still be retried after its caller has left.
         route.objective_ms = 20_000;
         route.timeout_ms = 20_000;
     }
     deployment
         .log
-        .write_operators(DirectoryEntry::Routing(patient));
+        .write_operators(DirectoryEntry::Routing(long_routes));
     wait_until("the node knows the routes", || {
         node.context()
             .routes()
@@ -103,20 +104,20 @@
     })
     .await;
     for backend in &deployment.applications {
-        backend.behave(|told| told.call = CallBehaviour::NotRun);
+        backend.behave(|behaviour| behaviour.call = CallBehaviour::NotRun);
     }
     for path in CALLS {
-        let before = sends(&deployment);
+        let before = received_requests(&deployment);
         let caller = send_bytes(&node, &request(path, "left", "")).await;
-        wait_until("it was turned away a few times", || {
-            sends(&deployment) > before + 4
+        wait_until("the call was rejected a few times", || {
+            received_requests(&deployment) > before + 4
         })
         .await;
         drop(caller);
-        tokio::time::sleep(PROMISED).await;
-        let sent = sends(&deployment);
-        tokio::time::sleep(LATER).await;
-        assert_eq!(sends(&deployment), sent, "{path}: sent again");
+        tokio::time::sleep(CANCEL_TIMEOUT).await;
+        let sent = received_requests(&deployment);
+        tokio::time::sleep(RESEND_WAIT).await;
+        assert_eq!(received_requests(&deployment), sent, "{path}: sent again");
     }
 }
 
@@ -125,97 +126,105 @@
     let deployment = Deployment::start(0, 2).await;
     let node = deployment.node("a").await;
     for backend in &deployment.applications {
-        backend.behave(|told| told.call = CallBehaviour::Silent);
+        backend.behave(|behaviour| behaviour.call = CallBehaviour::Silent);
     }
     let caller = send_bytes(&node, &request("/calls/path", "left", "")).await;
-    wait_for_sends(&deployment, 1).await;
-    // The second send would follow half of the objective of a second after the first.
+    wait_for_received_requests(&deployment, 1).await;
+    // The second send is due after half of the route's objective of one second.
     tokio::time::sleep(Duration::from_millis(400)).await;
     drop(caller);
-    expect_an_end(&deployment, "before the second send").await;
+    expect_cancellation(&deployment, "before the second send").await;
 }
 
 #[tokio::test]
-async fn both_sends_of_a_call_end_with_its_caller() {
+async fn both_sends_of_a_call_are_cancelled_when_its_caller_leaves() {
     let deployment = Deployment::start(0, 2).await;
     let node = deployment.node("a").await;
     for backend in &deployment.applications {
-        backend.behave(|told| told.call = CallBehaviour::Silent);
+        backend.behave(|behaviour| behaviour.call = CallBehaviour::Silent);
     }
     let caller = send_bytes(&node, &request("/calls/path", "left", "")).await;
-    wait_for_sends(&deployment, 2).await;
+    wait_for_received_requests(&deployment, 2).await;
     drop(caller);
-    expect_an_end(&deployment, "after the second send").await;
-    assert_eq!(sends(&deployment), 2);
+    expect_cancellation(&deployment, "after the second send").await;
+    assert_eq!(received_requests(&deployment), 2);
 }
 
-/// A caller that shuts down its writing side only is taken as one that left: a close of both sides
-/// begins with the same segment, so a server cannot tell the two apart.
+/// A caller that only shuts down its writing side counts as one that left. A full close starts with the same TCP
+/// segment, so a server cannot tell the two apart.
 #[tokio::test]
-async fn a_caller_that_closes_its_writing_side_counts_as_gone() {
+async fn a_caller_that_shuts_down_its_writing_side_counts_as_gone() {
     for path in [CALLS[0], CALLS[1], STREAMS[0], STREAMS[1]] {
         let deployment = silent_deployment().await;
         let node = deployment.node("a").await;
         let mut caller = send_bytes(&node, &request(path, "left", "")).await;
-        wait_for_sends(&deployment, 1).await;
+        wait_for_received_requests(&deployment, 1).await;
         caller.shutdown().await.unwrap();
-        expect_an_end(&deployment, path).await;
+        expect_cancellation(&deployment, path).await;
     }
 }
 
-/// What happened: a back end went on with a call whose caller was gone, until its deadline. The caller
-/// had sent its next request behind the first and then closed. The HTTP library watches for the close
-/// by reading, and does not read on while bytes of a next request lie in its buffer; so the close was
-/// seen only once the answer was due. "1 still at work after 500ms" here; without the next request
-/// the back end was rid of the call within some milliseconds.
+/// Guards against a back end that continues a call until its deadline although the caller has left. The caller sends
+/// its next request behind the first one and closes the connection. The HTTP library detects a close by reading,
+/// and does not read while bytes of a next request are in its buffer, so it sees the close only when the
+/// answer is due. The back end is then still working after 500 ms; without the next request, the call is
+/// cancelled within some milliseconds.
 #[tokio::test]
-async fn a_call_ends_with_a_caller_that_has_sent_its_next_request() {
+async fn a_call_is_cancelled_when_a_caller_leaves_behind_its_next_request() {
     for path in [CALLS[0], CALLS[1], STREAMS[0], STREAMS[1]] {
         let deployment = silent_deployment().await;
         let node = deployment.node("a").await;
         let both = request(path, "left", "") + &request(path, "next", "");
         let caller = send_bytes(&node, &both).await;
-        wait_for_sends(&deployment, 1).await;
+        wait_for_received_requests(&deployment, 1).await;
         drop(caller);
-        expect_an_end(&deployment, path).await;
-        assert_eq!(sends(&deployment), 1, "the next request never runs");
+        expect_cancellation(&deployment, path).await;
+        assert_eq!(
+            received_requests(&deployment),
+            1,
+            "the next request never runs"
+        );
     }
 }
 
-/// The same, where bytes of the next request come later, in several segments.
+/// The same failure, where the bytes of the next requests arrive later, in several segments.
 #[tokio::test]
-async fn a_call_ends_with_a_caller_that_sends_more_while_it_waits() {
+async fn a_call_is_cancelled_when_a_caller_leaves_that_sent_more_while_it_waited() {
     let deployment = silent_deployment().await;
     let node = deployment.node("a").await;
     let mut caller = send_bytes(&node, &request("/calls/path", "left", "")).await;
-    wait_for_sends(&deployment, 1).await;
+    wait_for_received_requests(&deployment, 1).await;
     for _ in 0..3 {
         let more = request("/calls/path", "next", "");
         caller.write_all(more.as_bytes()).await.unwrap();
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     drop(caller);
-    expect_an_end(&deployment, "more bytes").await;
-    assert_eq!(sends(&deployment), 1, "the next requests never run");
+    expect_cancellation(&deployment, "more bytes").await;
+    assert_eq!(
+        received_requests(&deployment),
+        1,
+        "the next requests never run"
+    );
 }
 
 #[tokio::test]
-async fn a_call_ends_with_a_caller_that_resets_behind_unread_bytes() {
+async fn a_call_is_cancelled_when_a_caller_resets_behind_unread_bytes() {
     let deployment = silent_deployment().await;
     let node = deployment.node("a").await;
     let both = request("/calls/path", "left", "") + &request("/calls/path", "next", "");
     let caller = send_bytes(&node, &both).await;
-    wait_for_sends(&deployment, 1).await;
+    wait_for_received_requests(&deployment, 1).await;
     SockRef::from(&caller)
         .set_linger(Some(Duration::ZERO))
         .unwrap();
     drop(caller);
-    expect_an_end(&deployment, "reset").await;
+    expect_cancellation(&deployment, "reset").await;
 }
 
-/// The answers to requests that were sent together come in turn, whole.
+/// Requests that are pipelined on one connection get complete answers in their order.
 #[tokio::test]
-async fn requests_that_were_sent_together_are_answered_in_turn() {
+async fn pipelined_requests_are_answered_in_order() {
     let deployment = Deployment::start(0, 1).await;
     let node = deployment.node("a").await;
     let three = ["one", "two", "three"].map(|id| request("/calls/path", id, ""));
@@ -227,19 +236,20 @@
         assert!(read > 0, "the answers ended with {text:?}");
         text.push_str(&String::from_utf8_lossy(&bytes[..read]));
     }
-    let places = ["one", "two", "three"].map(|id| text.find(&format!("answers {id}")));
-    assert!(places.is_sorted(), "{text}");
-    assert!(places.iter().all(Option::is_some), "{text}");
+    let positions = ["one", "two", "three"].map(|id| text.find(&format!("answers {id}")));
+    assert!(positions.is_sorted(), "{text}");
+    assert!(positions.iter().all(Option::is_some), "{text}");
 }
 
-/// Callers came and left while the node had no time to accept, or to read, what they sent. What
-/// happened: of each two requests that were sent together, the first ran though its caller had left
-/// before a byte of it was read (4 sends, one for each path), for the reason told above.
+/// Callers send requests and leave while the node's thread is held, before the node accepts their connections or reads
+/// from them. Guards against running the first of two pipelined requests although the caller left before a
+/// byte of it was read (4 received_requests, one for each path): the close behind the bytes of the second request is
+/// not detected, as in `a_call_is_cancelled_when_a_caller_leaves_behind_its_next_request`.
 #[tokio::test]
-async fn a_request_that_is_read_after_its_caller_left_is_sent_nowhere() {
+async fn a_request_that_is_read_after_its_caller_left_is_not_sent() {
     let deployment = silent_deployment().await;
     let node = deployment.node("a").await;
-    // Accepted and answered once, then at rest.
+    // A connection that was accepted and has carried one answer, and is idle now.
     let mut kept = connect(&node).await;
     let unknown = request("/unknown/path", "before", "");
     kept.write_all(unknown.as_bytes()).await.unwrap();
@@ -255,15 +265,15 @@
     let late = request("/calls/path", "late", "");
     kept.write_all(late.as_bytes()).await.unwrap();
     drop(kept);
-    tokio::time::sleep(LATER).await;
-    assert_eq!(sends(&deployment), 0);
-    deployment.applications[0].behave(|told| told.call = CallBehaviour::Answer);
+    tokio::time::sleep(RESEND_WAIT).await;
+    assert_eq!(received_requests(&deployment), 0);
+    deployment.applications[0].behave(|behaviour| behaviour.call = CallBehaviour::Answer);
     assert_eq!(call(node.callers, "call", "/calls/path").await.status, 200);
 }
 
-/// A body that never came whole is sent nowhere, with a length or in chunks.
+/// A request whose body is incomplete is not sent to any back end, whether the body has a length or is chunked.
 #[tokio::test]
-async fn a_request_whose_body_ends_early_is_sent_nowhere() {
+async fn a_request_whose_body_ends_early_is_not_sent() {
     let deployment = silent_deployment().await;
     let node = deployment.node("a").await;
     let part = "x".repeat(100_000);
@@ -279,22 +289,22 @@
             drop(caller);
         }
     }
-    tokio::time::sleep(LATER).await;
-    assert_eq!(sends(&deployment), 0);
+    tokio::time::sleep(RESEND_WAIT).await;
+    assert_eq!(received_requests(&deployment), 0);
 }
 
-/// While the node stops, its callers may still leave.
+/// A caller's close is also detected while the node stops.
 #[tokio::test]
-async fn a_call_ends_with_its_caller_while_the_node_stops() {
+async fn a_call_is_cancelled_when_its_caller_leaves_while_the_node_stops() {
     let deployment = silent_deployment().await;
     let node = deployment.node("a").await;
-    let mut patient = routing(2);
-    for route in &mut patient.routes {
+    let mut long_routes = routing(2);
+    for route in &mut long_routes.routes {
         route.timeout_ms = 20_000;
     }
     deployment
         .log
-        .write_operators(DirectoryEntry::Routing(patient));
+        .write_operators(DirectoryEntry::Routing(long_routes));
     wait_until("the node knows the routes", || {
         node.context()
             .routes()
@@ -302,20 +312,24 @@
     })
     .await;
     let caller = send_bytes(&node, &request("/once/path", "left", "")).await;
-    wait_for_sends(&deployment, 1).await;
+    wait_for_received_requests(&deployment, 1).await;
     let stopping = tokio::spawn(node.stop());
-    // Longer than the time after which a node that stops closes its connections.
+    // Longer than the time after which a stopping node closes its connections.
     tokio::time::sleep(Duration::from_millis(3_000)).await;
-    assert_eq!(at_work(&deployment), 1, "the call goes on");
+    assert_eq!(
+        running_requests(&deployment),
+        1,
+        "the call is still running"
+    );
     drop(caller);
-    expect_an_end(&deployment, "stopping").await;
+    expect_cancellation(&deployment, "stopping").await;
     stopping.await.unwrap();
 }
 
-/// Kinds of batch calls whose callers left, by the lines that tell so.
-struct Left(Mutex<Vec<String>>);
+/// Logger that collects the kinds of batch calls whose callers left, from the `batch_caller_left` events.
+struct CallerLeftLog(Mutex<Vec<String>>);
 
-impl Log for Left {
+impl Log for CallerLeftLog {
     fn enabled(&self, _: &Metadata<'_>) -> bool {
         true
     }
@@ -332,21 +346,22 @@
     fn flush(&self) {}
 }
 
-fn left() -> &'static Left {
-    static LEFT: OnceLock<Left> = OnceLock::new();
-    let left = LEFT.get_or_init(|| Left(Mutex::default()));
-    if log::set_logger(left).is_ok() {
+fn install_caller_left_log() -> &'static CallerLeftLog {
+    static CALLER_LEFT_LOG: OnceLock<CallerLeftLog> = OnceLock::new();
+    let logger = CALLER_LEFT_LOG.get_or_init(|| CallerLeftLog(Mutex::default()));
+    if log::set_logger(logger).is_ok() {
         log::set_max_level(log::LevelFilter::Info);
     }
-    left
+    logger
 }
 
-/// A read that waits for news is dropped with its caller, also if that sent a body along or more.
+/// A read that waits for new results is dropped when its caller leaves, also if the caller sent a body or more
+/// requests with it.
 #[tokio::test]
-async fn a_read_of_a_batch_ends_with_its_caller() {
-    let left = left();
+async fn a_read_of_a_batch_is_cancelled_when_its_caller_leaves() {
+    let caller_left_log = install_caller_left_log();
     let deployment = Deployment::start(1, 0).await;
-    deployment.engines[0].behave(|told| told.event_pause = Duration::from_secs(60));
+    deployment.engines[0].behave(|behaviour| behaviour.event_pause = Duration::from_secs(60));
     let node = deployment.node("a").await;
     let body = write_batch(1, &[("i1", "g1")], false);
     assert_eq!(submit(node.callers, "batch", &body).await, 202);
@@ -358,10 +373,13 @@
         tokio::time::sleep(Duration::from_millis(100)).await;
         drop(caller);
         let closed = Instant::now();
-        while left.0.lock().unwrap().len() <= at {
-            assert!(closed.elapsed() < PROMISED, "{bytes:?}: still read for");
+        while caller_left_log.0.lock().unwrap().len() <= at {
+            assert!(
+                closed.elapsed() < CANCEL_TIMEOUT,
+                "{bytes:?}: the read goes on"
+            );
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     }
-    assert_eq!(*left.0.lock().unwrap(), ["read", "read", "read"]);
+    assert_eq!(*caller_left_log.0.lock().unwrap(), ["read", "read", "read"]);
 }
--- a/crates/gateway/tests/calls.rs
+++ b/crates/gateway/tests/calls.rs
@@ -1,4 +1,4 @@
-//! Calls passed through: what reaches the caller, what reaches back ends, and how often.
+//! Forwarded calls: what the caller receives, what back ends receive, and how often a call is sent.
 
 mod support;
 
@@ -9,7 +9,7 @@
 use support::log::{LogFaults, NodeLog};
 
 #[tokio::test]
-async fn a_call_is_passed_on_whole() {
+async fn a_call_is_forwarded_unchanged() {
     let deployment = Deployment::start(0, 1).await;
     let node = deployment.node("a").await;
     let headers = [
@@ -30,7 +30,7 @@
     assert_eq!(answer.headers["x-signature"], "signed by application-0");
     assert!(
         !answer.headers.contains_key("keep-alive"),
-        "it concerns the other connection"
+        "a hop-by-hop header of the back end's connection"
     );
     let seen = deployment.applications[0].seen();
     assert_eq!(seen.len(), 1);
@@ -51,17 +51,18 @@
         404
     );
     let empty = support::log::MemoryLog::new();
-    let ignorant = support::deployment::TestNode::start(&empty, "b").await;
-    let answer = call(ignorant.callers, "call", "/calls/path").await;
+    let unconfigured = support::deployment::TestNode::start(&empty, "b").await;
+    let answer = call(unconfigured.callers, "call", "/calls/path").await;
     assert_eq!(answer.status, 503);
     assert!(answer.headers.contains_key("retry-after"));
 }
 
-async fn outcome(behaviour: CallBehaviour, path: &str) -> (u16, String, usize) {
+/// Status, body and number of sends of one call to two back ends that all behave in this way.
+async fn outcome(call_behaviour: CallBehaviour, path: &str) -> (u16, String, usize) {
     let deployment = Deployment::start(0, 2).await;
     let node = deployment.node("a").await;
     for backend in &deployment.applications {
-        backend.behave(|told| told.call = behaviour);
+        backend.behave(|behaviour| behaviour.call = call_behaviour);
     }
     let answer = call(node.callers, "call", path).await;
     let sent = deployment
@@ -79,43 +80,41 @@
 }
 
 #[tokio::test]
-async fn a_call_that_runs_at_most_once_is_not_sent_again_after_a_break() {
+async fn an_at_most_once_call_is_not_sent_again_after_a_break() {
     let (status, _, sent) = outcome(CallBehaviour::Break, "/once/path").await;
     assert_eq!((status, sent), (502, 1));
 }
 
-/// "Not run" may be said only if it is true: after a break the call may have run.
+/// A 503 states that the call did not run. A call that all back ends rejected gets it; after a broken connection
+/// the call may have run, so it must not get one.
 #[tokio::test]
-async fn only_a_call_that_did_not_run_is_refused_as_such() {
+async fn a_call_that_no_back_end_ran_is_refused_with_503() {
     let (status, _, sent) = outcome(CallBehaviour::NotRun, "/once/path").await;
     assert_eq!(status, 503);
-    assert!(
-        sent >= 2,
-        "back ends that turn a call away are followed by others"
-    );
+    assert!(sent >= 2, "a rejected call is sent to other back ends");
 }
 
 #[tokio::test]
-async fn an_answer_to_another_request_is_never_passed_on() {
+async fn an_answer_to_another_request_is_never_forwarded() {
     let (status, text, _) = outcome(CallBehaviour::ForeignAnswer, "/calls/path").await;
     assert_eq!((status, text.as_str()), (502, ""));
 }
 
 #[tokio::test]
-async fn an_answer_that_ends_early_is_never_passed_on() {
+async fn an_answer_that_ends_early_is_never_forwarded() {
     let (status, text, _) = outcome(CallBehaviour::CutShort, "/calls/path").await;
     assert_eq!((status, text.as_str()), (502, ""));
 }
 
 #[tokio::test]
-async fn the_last_failure_of_a_back_end_is_passed_on_as_it_is() {
+async fn the_last_failure_of_a_back_end_is_forwarded_unchanged() {
     let (status, text, sent) = outcome(CallBehaviour::Fail, "/calls/path").await;
     assert_eq!((status, sent), (500, 3));
     assert!(text.starts_with("application-"), "{text}");
 }
 
-/// When many nodes start at once the log refuses many of their calls: a refused page of a listing
-/// must not make the node begin the listing again.
+/// When many nodes start at once, the log refuses many of their requests. A refused page of a listing must not
+/// make the node start the listing again from the beginning.
 #[tokio::test]
 async fn a_node_starts_though_pages_of_its_listings_are_refused() {
     let deployment = Deployment::start(0, 6).await;
@@ -129,7 +128,7 @@
     assert_eq!(call(node.callers, "call", "/calls/path").await.status, 200);
 }
 
-/// A call that no back end can take is refused, not held until its time is over.
+/// A call that no back end can accept is refused instead of being held until its deadline.
 #[tokio::test]
 async fn a_call_without_back_ends_is_refused() {
     let deployment = Deployment::start(0, 0).await;
@@ -143,10 +142,10 @@
 }
 
 #[tokio::test]
-async fn a_silent_back_end_is_followed_by_another() {
+async fn a_call_to_a_silent_back_end_is_sent_to_another() {
     let deployment = Deployment::start(0, 2).await;
     let node = deployment.node("a").await;
-    deployment.applications[0].behave(|told| told.call = CallBehaviour::Silent);
+    deployment.applications[0].behave(|behaviour| behaviour.call = CallBehaviour::Silent);
     for at in 0..4 {
         let answer = call(node.callers, &format!("call-{at}"), "/calls/path").await;
         assert_eq!(text(&answer), format!("application-1 answers call-{at}"));
@@ -154,14 +153,14 @@
 }
 
 #[tokio::test]
-async fn a_draining_back_end_gets_no_more_calls() {
+async fn a_draining_back_end_receives_no_calls() {
     let deployment = Deployment::start(0, 2).await;
     let node = deployment.node("a").await;
     deployment
         .log
         .write_backends(listed(&deployment.applications[0], APPLICATIONS, true));
     let id = havenstage_rollout::ids::BackendId::from("application-0");
-    wait_until("the node knows that it drains", || {
+    wait_until("the node knows that the back end drains", || {
         node.context()
             .backends
             .lock()
--- a/crates/gateway/tests/calls_during_stop.rs
+++ b/crates/gateway/tests/calls_during_stop.rs
@@ -1,12 +1,9 @@
-//! Symptom: a caller on a new connection to a stopping node got no answer: the connection closed 0.77 s after its
-//! request had been read, and no back end had seen it.
+//! A call that arrives shortly before a stopping node exits must get an answer.
 //!
-//! Sequence: a node is told to stop, and has work until shortly before its time is over. A call comes then,
-//! while its pool's back ends are down. It waits for one of them, longer than the process lives.
-//!
-//! Cause: a call's time was bounded by its deadline and its route, not by the time that its process had left.
-//!
-//! What settled it: the node wrote `stopped` 7.4 s after `stopping`, and no line of the request.
+//! The failure: a node is stopping and has work until shortly before it exits. A call arrives on a new connection
+//! while the pool's back ends are down, and waits for one of them for longer than the process lives. If the call's
+//! time is bounded only by its deadline and its route, and not by the time until the process exits, then the
+//! connection closes without an answer (0.77 s after the request was read) and no back end receives the call.
 
 mod support;
 
@@ -17,15 +14,15 @@
 use support::caller::send;
 use support::deployment::{Deployment, wait_until};
 
-/// When the late call comes: the test's nodes close connections 2.6 s after they are told to stop, and end after
-/// 4.4 s.
-const LATE: Duration = Duration::from_millis(2_000);
+/// Delay of the late call after the start of the stop. The test's nodes close connections 2.6 s after the start of
+/// the stop and exit after 4.4 s.
+const LATE_CALL_DELAY: Duration = Duration::from_millis(2_000);
 
 #[tokio::test]
-async fn a_call_that_comes_shortly_before_the_end_of_its_node_is_answered() {
+async fn a_call_that_arrives_shortly_before_its_node_exits_is_answered() {
     let deployment = Deployment::start(0, 2).await;
     for backend in &deployment.applications {
-        backend.behave(|told| told.call = CallBehaviour::Silent);
+        backend.behave(|behaviour| behaviour.call = CallBehaviour::Silent);
     }
     let node = deployment.node("a").await;
     let address = node.callers;
@@ -40,12 +37,12 @@
     })
     .await;
     let stopping = tokio::spawn(node.stop());
-    tokio::time::sleep(LATE).await;
+    tokio::time::sleep(LATE_CALL_DELAY).await;
     let headers = [("x-id", "late"), ("x-deadline", "20000")];
     let late = send(address, Method::POST, "/patient/c", &headers, "late").await;
     let late = late.map(|answer| answer.status.as_u16());
     assert!(late.is_ok(), "{late:?}");
     stopping.await.unwrap();
-    // What runs at a back end until the end may be cut off.
+    // The early call is still running at a back end when the node exits, so it may be cut off.
     let _ = early.await.unwrap();
 }
--- a/crates/gateway/tests/keys.rs
+++ b/crates/gateway/tests/keys.rs
@@ -1,4 +1,5 @@
-//! Callers' keys: who is turned away, what back ends are told, and whose batches a caller reaches.
+//! Callers' API keys: which callers are denied, what back ends learn of the caller, and which batches a caller can
+//! reach.
 
 mod support;
 
@@ -30,6 +31,7 @@
     }
 }
 
+/// Routing configuration with these tenants, in which one route is public.
 fn with_tenants(version: u64, tenants: Vec<Tenant>) -> RoutingConfig {
     let mut config = routing(version);
     for route in &mut config.routes {
@@ -38,6 +40,7 @@
     RoutingConfig { tenants, ..config }
 }
 
+/// Starts a deployment with these tenants and a node that has read them.
 async fn deployment(tenants: Vec<Tenant>) -> (Deployment, TestNode) {
     let deployment = Deployment::start(1, 1).await;
     let node = deployment.node("a").await;
@@ -71,7 +74,7 @@
 }
 
 #[tokio::test]
-async fn a_call_needs_a_key_that_a_tenant_holds() {
+async fn a_call_needs_a_key_of_a_tenant() {
     let (deployment, node) = deployment(vec![tenant("water", &["k1"])]).await;
     for headers in [
         vec![],
@@ -88,7 +91,7 @@
 }
 
 #[tokio::test]
-async fn a_back_end_is_told_the_tenant_and_never_the_key() {
+async fn a_back_end_receives_the_tenant_and_never_the_key() {
     let (deployment, node) = deployment(vec![tenant("water", &["k1"])]).await;
     let headers = [("x-key", "k1"), ("x-tenant", "somebody else")];
     assert_eq!(call(&node, "/calls/a", &headers).await, 200);
@@ -98,7 +101,7 @@
 }
 
 #[tokio::test]
-async fn a_public_route_asks_for_no_key() {
+async fn a_public_route_requires_no_key() {
     let (deployment, node) = deployment(vec![tenant("water", &["k1"])]).await;
     let forged = [("x-tenant", "water")];
     assert_eq!(call(&node, "/patient/a", &forged).await, 200);
@@ -126,7 +129,8 @@
     answer.unwrap().status.as_u16()
 }
 
-async fn on_batch(node: &TestNode, method: Method, path: &str, key: &str) -> (u16, String) {
+/// Status and body of a request on a batch.
+async fn batch_request(node: &TestNode, method: Method, path: &str, key: &str) -> (u16, String) {
     let headers = [("x-key", key), ("x-wait", "300")];
     let answer = send(node.callers, method, path, &headers, "")
         .await
@@ -135,7 +139,7 @@
 }
 
 #[tokio::test]
-async fn items_name_their_batchs_tenant_and_reward_calls_none() {
+async fn items_carry_their_batchs_tenant_and_reward_calls_none() {
     let (deployment, node) = deployment(vec![tenant("water", &["k1", "k2"])]).await;
     assert_eq!(submit(&node, "batch", "unknown").await, 401);
     assert_eq!(submit(&node, "batch", "k1").await, 202);
@@ -152,12 +156,12 @@
     );
     let rewards = deployment.applications[0].seen();
     assert!(rewards.iter().all(|call| call.header("x-tenant").is_none()));
-    let (status, _) = on_batch(&node, Method::GET, "/results/batch?from=0", "k2").await;
+    let (status, _) = batch_request(&node, Method::GET, "/results/batch?from=0", "k2").await;
     assert_eq!(status, 200, "another key of the same tenant");
 }
 
 #[tokio::test]
-async fn a_batch_outlives_the_key_it_was_handed_in_with() {
+async fn a_batch_outlives_the_key_it_was_submitted_with() {
     let (deployment, node) = deployment(vec![tenant("water", &["k1", "k2"])]).await;
     assert_eq!(submit(&node, "batch", "k1").await, 202);
     let next = with_tenants(3, vec![tenant("water", &["k2"])]);
@@ -166,7 +170,7 @@
         deployment.applications[0].seen().len() == 2
     })
     .await;
-    let read = |key| on_batch(&node, Method::GET, "/results/batch?from=0", key);
+    let read = |key| batch_request(&node, Method::GET, "/results/batch?from=0", key);
     assert_eq!(read("k1").await.0, 401);
     assert_eq!(read("k2").await.0, 200);
 }
@@ -182,32 +186,33 @@
         with_tenants(3, vec![tenant("water", &["k1"]), tenant("power", &["k2"])]),
     )
     .await;
-    deployment.engines[0].behave(|told| told.event_pause = std::time::Duration::from_secs(60));
+    deployment.engines[0]
+        .behave(|behaviour| behaviour.event_pause = std::time::Duration::from_secs(60));
     assert_eq!(submit(&node, "batch", "k1").await, 202);
     for node in [&node, &other] {
         for path in ["/results/batch?from=0", "/results/batch?item=i1"] {
             assert_eq!(
-                on_batch(node, Method::GET, path, "k2").await.0,
+                batch_request(node, Method::GET, path, "k2").await.0,
                 404,
                 "{path}"
             );
             assert_eq!(
-                on_batch(node, Method::GET, path, "k1").await.0,
+                batch_request(node, Method::GET, path, "k1").await.0,
                 200,
                 "{path}"
             );
             assert_eq!(
-                on_batch(node, Method::GET, path, "none").await.0,
+                batch_request(node, Method::GET, path, "none").await.0,
                 401,
                 "{path}"
             );
         }
     }
-    // Whatever it is answered, a foreign end changes nothing.
-    on_batch(&other, Method::DELETE, "/results/batch", "k2").await;
-    let (status, body) = on_batch(&node, Method::GET, "/results/batch?item=i1", "k1").await;
+    // Whatever the answer is, another tenant's request to end the batch changes nothing.
+    batch_request(&other, Method::DELETE, "/results/batch", "k2").await;
+    let (status, body) = batch_request(&node, Method::GET, "/results/batch?item=i1", "k1").await;
     assert_eq!((status, body.as_str()), (200, "body of i1"));
-    let ended = on_batch(&other, Method::DELETE, "/results/batch", "k1").await;
+    let ended = batch_request(&other, Method::DELETE, "/results/batch", "k1").await;
     assert_eq!(ended.0, 200);
     wait_until("the items are dropped", || {
         deployment.engines[0].at_work() == 0
@@ -215,7 +220,7 @@
     .await;
 }
 
-/// Naming the items of somebody else's batch brings none of its output.
+/// A batch whose items have the same names as those of another tenant's batch gets none of that batch's output.
 #[tokio::test]
 async fn kept_output_stays_with_its_tenant() {
     let tenants = vec![tenant("water", &["k1"]), tenant("power", &["k2"])];
@@ -223,12 +228,15 @@
     assert_eq!(submit(&node, "first", "k1").await, 202);
     let engine: &Arc<_> = &deployment.engines[0];
     wait_until("the first batch has run", || engine.seen().len() == 2).await;
-    wait_until("it is rewarded", || {
+    wait_until("the first batch is rewarded", || {
         deployment.applications[0].seen().len() == 2
     })
     .await;
     assert_eq!(submit(&node, "second", "k2").await, 202);
-    wait_until("the second batch runs anew", || engine.seen().len() == 4).await;
+    wait_until("the second batch runs its own items", || {
+        engine.seen().len() == 4
+    })
+    .await;
     assert!(
         engine.seen()[2..]
             .iter()
@@ -236,12 +244,13 @@
     );
 }
 
-/// A node that has just started and reads no configuration cannot tell whose key it is: it says neither that the batch
-/// is there nor that it is not, and ends nothing.
+/// A node that has just started and has no configuration yet cannot tell to which tenant a key belongs. It answers 503,
+/// which reveals neither that the batch exists nor that it doesn't, and ends no batch.
 #[tokio::test]
 async fn a_node_without_a_configuration_hides_tenants_batches_and_ends_none() {
     let (deployment, node) = deployment(vec![tenant("water", &["k1"])]).await;
-    deployment.engines[0].behave(|told| told.event_pause = std::time::Duration::from_secs(60));
+    deployment.engines[0]
+        .behave(|behaviour| behaviour.event_pause = std::time::Duration::from_secs(60));
     assert_eq!(submit(&node, "batch", "k1").await, 202);
     let log = NodeLog::new(&deployment.log);
     log.set_faults(LogFaults {
@@ -251,12 +260,12 @@
     let fresh = TestNode::start_with(log, "b").await;
     for path in ["/results/batch?from=0", "/results/batch?item=i1"] {
         for key in ["k1", "none"] {
-            let (status, _) = on_batch(&fresh, Method::GET, path, key).await;
+            let (status, _) = batch_request(&fresh, Method::GET, path, key).await;
             assert_eq!(status, 503, "{path} {key}");
         }
     }
-    let ended = on_batch(&fresh, Method::DELETE, "/results/batch", "k1").await;
+    let ended = batch_request(&fresh, Method::DELETE, "/results/batch", "k1").await;
     assert_eq!(ended.0, 503);
-    let (status, _) = on_batch(&node, Method::GET, "/results/batch?item=i1", "k1").await;
-    assert_eq!(status, 200, "it was not ended");
+    let (status, _) = batch_request(&node, Method::GET, "/results/batch?item=i1", "k1").await;
+    assert_eq!(status, 200, "the batch was not ended");
 }
--- a/crates/gateway/tests/reward_limiter.rs
+++ b/crates/gateway/tests/reward_limiter.rs
@@ -1,4 +1,4 @@
-//! A step's items end together, and their reward calls come to a pool with few places.
+//! Reward calls to a pool with few slots, when all items of a training step end together.
 
 mod support;
 
@@ -16,32 +16,33 @@
 
 /// Items of the step.
 const ITEMS: usize = 150;
-/// Calls that an application works at together, and the time that each takes.
-const PLACES: usize = 2;
+/// Calls that an application runs at a time.
+const SLOTS: usize = 2;
+/// Time that each call takes.
 const CALL_TIME: Duration = Duration::from_millis(20);
-/// Callers' requests that come meanwhile.
+/// Callers' requests that are sent in the meantime.
 const CALLS: usize = 30;
 
-/// Ids of a step's items, which begin with a mark.
-fn item_ids(mark: &str) -> Vec<String> {
-    (0..ITEMS).map(|at| format!("{mark}{at}")).collect()
+/// Ids of a step's items, which start with `prefix`.
+fn item_ids(prefix: &str) -> Vec<String> {
+    (0..ITEMS).map(|at| format!("{prefix}{at}")).collect()
 }
 
-/// Items, all of one group.
+/// Items with these ids, all of one group.
 fn items(ids: &[String]) -> Vec<(&str, &str)> {
     ids.iter().map(|id| (id.as_str(), "g")).collect()
 }
 
-/// Before reward calls waited for their turn, these 150 were turned away 3,421 and 3,900 times (two runs); since
-/// then 190 times.
+/// Without a limit on the reward calls in flight, these 150 calls are rejected 3,421 and 3,900 times (two runs); with
+/// it 190 times.
 #[tokio::test]
-async fn reward_calls_leave_places_to_callers() {
+async fn reward_calls_leave_slots_to_callers() {
     let deployment = Deployment::start(20, 2).await;
     let node = deployment.node("a").await;
     for application in &deployment.applications {
-        application.behave(|told| {
-            told.places = Some(PLACES);
-            told.call_time = CALL_TIME;
+        application.behave(|behaviour| {
+            behaviour.places = Some(SLOTS);
+            behaviour.call_time = CALL_TIME;
         });
     }
     let body = write_batch(1, &items(&item_ids("i")), true);
@@ -53,34 +54,34 @@
         tokio::time::sleep(Duration::from_millis(25)).await;
     }
     wait_for_results(node.callers, "batch", ITEMS).await;
-    let turned_away: usize = deployment
+    let rejected: usize = deployment
         .applications
         .iter()
         .map(|application| application.turned_away())
         .sum();
-    println!("{served} of {CALLS} calls served, {turned_away} turned away");
+    println!("{served} of {CALLS} calls served, {rejected} rejected");
     assert!(served * 10 >= CALLS * 9, "{served} of {CALLS} served");
-    assert!(turned_away < 2 * ITEMS, "{turned_away} were turned away");
+    assert!(rejected < 2 * ITEMS, "{rejected} were rejected");
 }
 
-/// While reward calls wait for their turn, a configuration moves their route to another pool: those that are made
-/// later go there.
+/// While reward calls wait for a permit, a new configuration moves their route to another pool. Calls that get a
+/// permit later must not go to the old pool.
 #[tokio::test]
-async fn a_reward_call_that_waited_takes_the_route_in_force() {
+async fn a_reward_call_that_waited_uses_the_current_route() {
     let deployment = Deployment::start(20, 2).await;
     let node = deployment.node("a").await;
     for application in &deployment.applications {
-        application.behave(|told| told.call = CallBehaviour::Silent);
+        application.behave(|behaviour| behaviour.call = CallBehaviour::Silent);
     }
     let body = write_batch(1, &items(&item_ids("i")), true);
     assert_eq!(submit(node.callers, "batch", &body).await, 202);
-    let made = || -> BTreeSet<String> {
+    let sent_ids = || -> BTreeSet<String> {
         let applications = deployment.applications.iter();
         let seen = applications.flat_map(|application| application.seen());
         seen.filter_map(|call| call.header("x-id").map(str::to_owned))
             .collect()
     };
-    wait_until("some reward calls are made", || made().len() >= 4).await;
+    wait_until("some reward calls are sent", || sent_ids().len() >= 4).await;
     let mut config = routing(2);
     for route in &mut config.routes {
         if route.name == "calls" {
@@ -95,7 +96,7 @@
         table.is_some_and(|table| table.version() == 2)
     })
     .await;
-    let under_way = made();
+    let in_flight_ids = sent_ids();
     for application in &deployment.applications {
         application.break_connections();
     }
@@ -104,15 +105,16 @@
         application.break_connections();
     }
     tokio::time::sleep(Duration::from_millis(2_500)).await;
-    // Those under way at the change may be sent once more; no other one goes the old way.
-    assert_eq!(made(), under_way);
+    // Calls in flight at the change may be sent once more to the old pool; no other call goes there.
+    assert_eq!(sent_ids(), in_flight_ids);
 }
 
-/// Pool of one quick application, and the path that it serves.
+/// Pool of one fast application.
 const QUICK_POOL: &str = "quick";
+/// Path prefix of the route to that pool.
 const QUICK_PATH: &str = "/calls/quick/";
 
-/// The usual routes and one more, to the quick pool.
+/// The default routes and one more, to the fast pool.
 fn routing_with_quick_pool() -> RoutingConfig {
     let mut config = routing(2);
     let mut pools = config.pools.iter();
@@ -131,15 +133,16 @@
     config
 }
 
-/// Many reward calls wait for a pool whose application is slow; those to another one go on as if they were alone.
-/// With one queue for all pools the quick ones took 14.2 s (one run), with one for each 0.3 to 0.4 s (three runs).
+/// Many reward calls wait for a pool whose application is slow; reward calls to another pool must not be delayed by them.
+/// With one queue for all pools the calls to the fast pool take 14.2 s (one run), with one queue for each pool 0.3
+/// to 0.4 s (three runs).
 #[tokio::test]
-async fn reward_calls_to_a_slow_pool_hold_up_no_other_pool() {
+async fn reward_calls_to_a_slow_pool_delay_no_other_pool() {
     let deployment = Deployment::start(20, 1).await;
     let slow = &deployment.applications[0];
-    slow.behave(|told| told.call_time = Duration::from_millis(1_500));
+    slow.behave(|behaviour| behaviour.call_time = Duration::from_millis(1_500));
     let quick = StandInBackend::start("quick-0").await;
-    quick.behave(|told| told.call_time = CALL_TIME);
+    quick.behave(|behaviour| behaviour.call_time = CALL_TIME);
     let log = &deployment.log;
     log.write_backends(listed(&quick, QUICK_POOL, false));
     log.write_operators(DirectoryEntry::Routing(routing_with_quick_pool()));
@@ -147,7 +150,7 @@
     let body = write_batch(1, &items(&item_ids("slow")), true);
     assert_eq!(submit(node.callers, "slow", &body).await, 202);
     wait_until("the slow pool is full", || slow.seen().len() >= 4).await;
-    // All items of the slow batch wait for their turn by then.
+    // By then all items of the slow batch wait for a permit.
     tokio::time::sleep(Duration::from_secs(1)).await;
     let reward_path = format!("{QUICK_PATH}reward");
     let body = write_batch_with_rewards(1, &items(&item_ids("quick")), &reward_path);
--- a/crates/gateway/tests/second_sends.rs
+++ b/crates/gateway/tests/second_sends.rs
@@ -1,4 +1,4 @@
-//! Second sends of repeatable calls to which no answer comes.
+//! Second (hedged) sends of repeatable calls that get no answer.
 
 mod support;
 
@@ -9,42 +9,42 @@
 use support::caller::{call, text};
 use support::deployment::{APPLICATIONS, Deployment, listed, wait_until};
 
-/// Processor time that a node may use in a call that waits for its back end: a fifth of what a loop
-/// without a pause uses. A busy machine can only lessen what is measured.
-const MOST_PROCESSOR_TIME: Duration = Duration::from_millis(500);
-/// A little more than the time after which the second send of a call is due: half of the objective of
-/// its route, 1,000 ms.
-const SECOND_SEND_IS_DUE: Duration = Duration::from_millis(700);
+/// Maximum processor time of a node during one call that waits for its back end: a fifth of what a loop without a
+/// pause uses. On a busy machine the measured time can only be lower.
+const MAX_PROCESSOR_TIME: Duration = Duration::from_millis(500);
+/// A little longer than the time until the second send of a call is due, which is half of the route's objective of
+/// 1,000 ms.
+const SECOND_SEND_DELAY: Duration = Duration::from_millis(700);
 
-/// One application was listed and stayed silent. From the time of the second send until the call ran
-/// out of time, the node's thread used a whole processor: the timer of the second send was in the past,
-/// no other back end was to be had, and the same timer was set again at once. Of a call of 3.0 s, 2.50 s
-/// of processor time; 0.02 s with a second application, which took the second send. On a machine with a
-/// tenth of a processor the node's reads of the log came late.
+/// Guards against a busy loop while a call waits. The only application of the pool is silent. When the second send
+/// is due and there is no other back end, a timer that is set again in the past fires at once, so the node's
+/// thread uses a whole processor until the deadline: 2.50 s of processor time in a call of 3.0 s, against 0.02 s
+/// with a second application that takes the second send. On a machine with a tenth of a processor, the node's
+/// reads of the log are then late.
 #[tokio::test]
-async fn a_call_without_a_second_back_end_leaves_the_processor_alone() {
+async fn a_call_without_a_second_back_end_causes_no_busy_loop() {
     let deployment = Deployment::start(0, 1).await;
     let node = deployment.node("a").await;
-    deployment.applications[0].behave(|told| told.call = CallBehaviour::Silent);
+    deployment.applications[0].behave(|behaviour| behaviour.call = CallBehaviour::Silent);
     let before = node.processor_time().await;
     let answer = call(node.callers, "call", "/calls/path").await;
     let used = node.processor_time().await - before;
     assert_eq!(answer.status, StatusCode::GATEWAY_TIMEOUT);
     assert_eq!(deployment.applications[0].seen().len(), 1);
     assert!(
-        used < MOST_PROCESSOR_TIME,
-        "{used:?} of processor time for one call that waits"
+        used < MAX_PROCESSOR_TIME,
+        "{used:?} of processor time used by one waiting call"
     );
 }
 
-/// The same loop, where every back end had got the call: one broke the connection, and the other one, or
-/// the first, stayed silent.
+/// The same busy loop, where every back end has already received the call: one of the two breaks the connection and
+/// the other one stays silent.
 #[tokio::test]
-async fn a_call_that_every_back_end_has_got_leaves_the_processor_alone() {
+async fn a_call_that_every_back_end_received_causes_no_busy_loop() {
     let deployment = Deployment::start(0, 2).await;
     let node = deployment.node("a").await;
-    deployment.applications[0].behave(|told| told.call = CallBehaviour::Silent);
-    deployment.applications[1].behave(|told| told.call = CallBehaviour::Break);
+    deployment.applications[0].behave(|behaviour| behaviour.call = CallBehaviour::Silent);
+    deployment.applications[1].behave(|behaviour| behaviour.call = CallBehaviour::Break);
     let before = node.processor_time().await;
     let answer = call(node.callers, "call", "/calls/path").await;
     let used = node.processor_time().await - before;
@@ -53,24 +53,24 @@
         assert_eq!(application.seen().len(), 1);
     }
     assert!(
-        used < MOST_PROCESSOR_TIME,
-        "{used:?} of processor time for one call that waits"
+        used < MAX_PROCESSOR_TIME,
+        "{used:?} of processor time used by one waiting call"
     );
 }
 
-/// A look that finds no second back end is not the last one.
+/// The search for a second back end is repeated after one that finds none.
 #[tokio::test]
-async fn a_back_end_that_comes_late_gets_the_second_send() {
+async fn a_back_end_that_is_listed_late_receives_the_second_send() {
     let deployment = Deployment::start(0, 1).await;
     let node = deployment.node("a").await;
-    deployment.applications[0].behave(|told| told.call = CallBehaviour::Silent);
+    deployment.applications[0].behave(|behaviour| behaviour.call = CallBehaviour::Silent);
     let callers = node.callers;
     let waiting = tokio::spawn(async move { call(callers, "call", "/calls/path").await });
     wait_until("the silent back end has the call", || {
         !deployment.applications[0].seen().is_empty()
     })
     .await;
-    tokio::time::sleep(SECOND_SEND_IS_DUE).await;
+    tokio::time::sleep(SECOND_SEND_DELAY).await;
     let late = StandInBackend::start("application-late").await;
     deployment
         .log
--- a/crates/gateway/tests/support/leaving.rs
+++ b/crates/gateway/tests/support/leaving.rs
@@ -1,4 +1,4 @@
-//! Callers that leave, seen byte by byte, and what back ends have of their requests then.
+//! Callers on raw TCP connections that leave, and checks that back ends then drop their requests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,15 +10,17 @@
 use super::backend::{CallBehaviour, StandInBackend};
 use super::deployment::{Deployment, TestNode, wait_until};
 
-/// Time within which back ends are rid of the request of a caller that left.
-pub const PROMISED: Duration = Duration::from_millis(500);
-/// Longer than any further send would take to begin: half of the routes' objective and some more.
-pub const LATER: Duration = Duration::from_millis(900);
-/// Paths of calls that may be repeated, and of those that run at most once.
+/// Maximum time within which back ends must drop the request of a caller that left.
+pub const CANCEL_TIMEOUT: Duration = Duration::from_millis(500);
+/// Time to wait for a further send that must not happen: longer than half of the routes' objective, after which a
+/// second send is due.
+pub const RESEND_WAIT: Duration = Duration::from_millis(900);
+/// Paths of a repeatable call and of an at-most-once call.
 pub const CALLS: [&str; 2] = ["/calls/path", "/once/path"];
-/// Paths of streams that may go on elsewhere, and of those that may not.
+/// Paths of a resumable stream and of one that is not resumable.
 pub const STREAMS: [&str; 2] = ["/streams/s", "/streams/once/s"];
 
+/// Bytes of a request; `more` holds further header lines.
 pub fn request(path: &str, id: &str, more: &str) -> String {
     format!(
         "POST {path} HTTP/1.1\r\nhost: host.test\r\nx-id: {id}\r\nx-deadline: 20000\r\n{more}\
@@ -32,7 +34,7 @@
     stream
 }
 
-/// Sends bytes on a new connection, which is returned.
+/// Sends bytes on a new connection and returns the connection.
 pub async fn send_bytes(node: &TestNode, bytes: &str) -> TcpStream {
     let mut stream = connect(node).await;
     stream.write_all(bytes.as_bytes()).await.unwrap();
@@ -43,53 +45,55 @@
     deployment.applications.iter().chain(&deployment.engines)
 }
 
-pub fn at_work(deployment: &Deployment) -> usize {
+/// Number of requests that back ends are working on now.
+pub fn running_requests(deployment: &Deployment) -> usize {
     backends(deployment).map(|backend| backend.at_work()).sum()
 }
 
-pub fn sends(deployment: &Deployment) -> usize {
+/// Number of requests that back ends have received since they started.
+pub fn received_requests(deployment: &Deployment) -> usize {
     backends(deployment)
         .map(|backend| backend.seen().len())
         .sum()
 }
 
-pub async fn wait_for_sends(deployment: &Deployment, count: usize) {
-    wait_until("the request has come to back ends", || {
-        sends(deployment) >= count && at_work(deployment) > 0
+pub async fn wait_for_received_requests(deployment: &Deployment, count: usize) {
+    wait_until("back ends have received the request", || {
+        received_requests(deployment) >= count && running_requests(deployment) > 0
     })
     .await;
 }
 
-/// The caller has just left: back ends drop its request in time, and it is not sent again.
-pub async fn expect_an_end(deployment: &Deployment, what: &str) {
-    let left = Instant::now();
-    while at_work(deployment) > 0 {
-        let count = at_work(deployment);
+/// Expects, after a caller has just left, that back ends drop its request in time and that it is not sent again.
+pub async fn expect_cancellation(deployment: &Deployment, what: &str) {
+    let left_at = Instant::now();
+    while running_requests(deployment) > 0 {
+        let count = running_requests(deployment);
         assert!(
-            left.elapsed() < PROMISED,
-            "{what}: {count} still at work after {PROMISED:?}"
+            left_at.elapsed() < CANCEL_TIMEOUT,
+            "{what}: {count} still running after {CANCEL_TIMEOUT:?}"
         );
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    let sent = sends(deployment);
-    tokio::time::sleep(LATER).await;
-    assert_eq!(sends(deployment), sent, "{what}: sent again");
+    let sent = received_requests(deployment);
+    tokio::time::sleep(RESEND_WAIT).await;
+    assert_eq!(received_requests(deployment), sent, "{what}: sent again");
 }
 
-/// One back end of each kind; calls get no answer, and streams no event.
+/// Starts one back end of each kind; calls get no answer, and streams get no event.
 pub async fn silent_deployment() -> Deployment {
     let deployment = Deployment::start(1, 1).await;
-    deployment.applications[0].behave(|told| told.call = CallBehaviour::Silent);
-    deployment.engines[0].behave(|told| told.event_pause = Duration::from_secs(60));
+    deployment.applications[0].behave(|behaviour| behaviour.call = CallBehaviour::Silent);
+    deployment.engines[0].behave(|behaviour| behaviour.event_pause = Duration::from_secs(60));
     deployment
 }
 
-/// Sends a request to a silent deployment, leaves once it is sent on, and expects that its back end is rid of it.
-pub async fn expect_an_end_with_the_caller(path: &str) {
+/// Sends a request to a silent deployment, leaves once a back end has received it, and expects its cancellation.
+pub async fn expect_cancellation_when_caller_leaves(path: &str) {
     let deployment = silent_deployment().await;
     let node = deployment.node("a").await;
     let caller = send_bytes(&node, &request(path, "left", "")).await;
-    wait_for_sends(&deployment, 1).await;
+    wait_for_received_requests(&deployment, 1).await;
     drop(caller);
-    expect_an_end(&deployment, path).await;
+    expect_cancellation(&deployment, path).await;
 }
