--- a/crates/gateway/src/call_progress.rs
+++ b/crates/gateway/src/call_progress.rs
@@ -187,17 +187,19 @@
         if matches!(admission, Admission::Send(_) | Admission::Wait) {
             return None;
         }
-        if matches!(admission, Admission::Untold) && self.can_wait_for_reports() {
+        if matches!(admission, Admission::EndsUnreported) && self.can_wait_for_reports() {
             return None;
         }
         let (request, id) = (self.call.fingerprint(), self.call.id_text());
         match admission {
             Admission::Barred => {
-                crash_guard::tell_barred(self.context, &request, &id);
+                crash_guard::record_barred_retry(self.context, &request, &id);
                 return Some(CallOutcome::Barred);
             }
-            Admission::Untold => crash_guard::tell_untold(self.context, &request, &id),
-            _ => crash_guard::tell_left_to_another(self.context, &request, &id),
+            Admission::EndsUnreported => {
+                crash_guard::log_given_up_with_unreported_ends(self.context, &request, &id)
+            }
+            _ => crash_guard::log_left_to_another(self.context, &request, &id),
         }
         Some(match self.may_have_run {
             0 => refused(),
@@ -209,7 +211,7 @@
     /// under it.
     fn can_wait_for_reports(&mut self) -> bool {
         let since = *self.unreported_since.get_or_insert_with(Instant::now);
-        since.elapsed() < crash_guard::UNTOLD_PATIENCE
+        since.elapsed() < crash_guard::UNREPORTED_END_TIMEOUT
     }
 
     fn can_run_again(&self) -> bool {
@@ -264,7 +266,7 @@
     fn duplicate_timeout(&self) -> Duration {
         let usual = share_of_objective(self.route, REFUSE_SHARE);
         let objective = share_of_objective(self.route, 1.0);
-        usual.max(crash_evidence::FATE_KNOWN_AFTER.min(objective))
+        usual.max(crash_evidence::OUTCOME_KNOWN_AFTER.min(objective))
     }
 
     fn can_hedge(&self) -> bool {
@@ -277,7 +279,7 @@
 
     /// Whether the call may be sent now, in view of the back ends that crashed under it.
     fn admission(&self) -> Admission {
-        if crash_guard::suspects_nobody(self.context) {
+        if crash_guard::has_no_suspects(self.context) {
             return Admission::Send(None);
         }
         let sender = match self.call.batch {
@@ -417,7 +419,7 @@
         for send in self.in_flight.drain(..) {
             let mut given_up = send::unanswered_send(self.call, send.backend, send.link);
             given_up.slot = send.slot;
-            crash_evidence::send_given_up(self.context, given_up);
+            crash_evidence::watch_given_up_send(self.context, given_up);
         }
     }
 
--- a/crates/gateway/tests/callers_that_leave.rs
+++ b/crates/gateway/tests/callers_that_leave.rs
@@ -18,7 +18,7 @@
 use support::dialect::write_batch;
 use support::leaving::{
     CALLS, CANCEL_TIMEOUT, RESEND_WAIT, STREAMS, connect, expect_cancellation,
-    expect_cancellation_when_caller_leaves, received_requests, request, running_requests,
+    expect_cancellation_when_caller_leaves, received_requests, request, requests_in_flight,
     send_bytes, silent_deployment, wait_for_received_requests,
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -317,7 +317,7 @@
     // Longer than the time after which a stopping node closes its connections.
     tokio::time::sleep(Duration::from_millis(3_000)).await;
     assert_eq!(
-        running_requests(&deployment),
+        requests_in_flight(&deployment),
         1,
         "the call is still running"
     );
--- a/crates/gateway/tests/refusals.rs
+++ b/crates/gateway/tests/refusals.rs
@@ -100,7 +100,7 @@
         send(address, Method::POST, "/calls/path", &headers, "").await
     });
     wait_until("the back end has received the call", || {
-        backend.at_work() == 1
+        backend.in_flight() == 1
     })
     .await;
     deployment.log.write_backends(removed(&backend.id));
--- a/crates/gateway/tests/reward_limiter.rs
+++ b/crates/gateway/tests/reward_limiter.rs
@@ -41,7 +41,7 @@
     let node = deployment.node("a").await;
     for application in &deployment.applications {
         application.behave(|behaviour| {
-            behaviour.places = Some(SLOTS);
+            behaviour.slots = Some(SLOTS);
             behaviour.call_time = CALL_TIME;
         });
     }
@@ -57,7 +57,7 @@
     let rejected: usize = deployment
         .applications
         .iter()
-        .map(|application| application.turned_away())
+        .map(|application| application.rejected_calls())
         .sum();
     println!("{served} of {CALLS} calls served, {rejected} rejected");
     assert!(served * 10 >= CALLS * 9, "{served} of {CALLS} served");
--- a/crates/gateway/tests/streams_whose_callers_leave.rs
+++ b/crates/gateway/tests/streams_whose_callers_leave.rs
@@ -7,7 +7,7 @@
 use support::deployment::{Deployment, TestNode};
 use support::leaving::{
     STREAMS, expect_cancellation, expect_cancellation_when_caller_leaves, received_requests,
-    request, running_requests, send_bytes, wait_for_received_requests,
+    request, requests_in_flight, send_bytes, wait_for_received_requests,
 };
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
@@ -73,7 +73,7 @@
     let caller = send_bytes(node, &request(path, "left", "")).await;
     wait_for_received_requests(deployment, 1).await;
     tokio::time::sleep(Duration::from_millis(500)).await;
-    assert_eq!(running_requests(deployment), 1, "the stream is blocked");
+    assert_eq!(requests_in_flight(deployment), 1, "the stream is blocked");
     caller
 }
 
--- a/crates/gateway/tests/support/leaving.rs
+++ b/crates/gateway/tests/support/leaving.rs
@@ -46,8 +46,10 @@
 }
 
 /// Number of requests that back ends are working on now.
-pub fn running_requests(deployment: &Deployment) -> usize {
-    backends(deployment).map(|backend| backend.at_work()).sum()
+pub fn requests_in_flight(deployment: &Deployment) -> usize {
+    backends(deployment)
+        .map(|backend| backend.in_flight())
+        .sum()
 }
 
 /// Number of requests that back ends have received since they started.
@@ -59,7 +61,7 @@
 
 pub async fn wait_for_received_requests(deployment: &Deployment, count: usize) {
     wait_until("back ends have received the request", || {
-        received_requests(deployment) >= count && running_requests(deployment) > 0
+        received_requests(deployment) >= count && requests_in_flight(deployment) > 0
     })
     .await;
 }
@@ -67,8 +69,8 @@
 /// Expects, after a caller has just left, that back ends drop its request in time and that it is not sent again.
 pub async fn expect_cancellation(deployment: &Deployment, what: &str) {
     let left_at = Instant::now();
-    while running_requests(deployment) > 0 {
-        let count = running_requests(deployment);
+    while requests_in_flight(deployment) > 0 {
+        let count = requests_in_flight(deployment);
         assert!(
             left_at.elapsed() < CANCEL_TIMEOUT,
             "{what}: {count} still running after {CANCEL_TIMEOUT:?}"
