--- a/crates/gateway/src/engine/lengths.rs
+++ b/crates/gateway/src/engine/item_lengths.rs
@@ -1,4 +1,5 @@
-//! How long items become: what this node saw of each pool's items, and what it expects of those that run.
+//! Lengths of items: statistics of the finished items of each pool, and the tokens that this node's running items
+//! are expected to take on each back end.
 
 use std::collections::BTreeMap;
 
@@ -12,25 +13,30 @@
 use super::plan::tokens_per_event;
 use super::run::ItemKey;
 
-/// What is known of the lengths of items, and of the memory that they take.
+/// Lengths of finished items, and the memory that running items are expected to take.
 #[derive(Debug, Default)]
-pub(super) struct Lengths {
+pub(super) struct ItemLengths {
     by_pool: BTreeMap<PoolName, LengthHistory>,
-    /// This node's items on each back end, as of the last plan.
+    /// This node's items on each back end, as of the last round of planning.
     on_backends: BTreeMap<BackendId, Vec<ItemTokens>>,
 }
 
-impl Lengths {
-    /// Tokens still expected of an item that made so many.
-    pub(super) fn remaining(&self, pool: &PoolName, item: &ItemState, made_tokens: u32) -> u32 {
+impl ItemLengths {
+    /// Number of tokens that an item is still expected to produce after `made_tokens`.
+    pub(super) fn expected_remaining(
+        &self,
+        pool: &PoolName,
+        item: &ItemState,
+        made_tokens: u32,
+    ) -> u32 {
         match self.by_pool.get(pool) {
             Some(history) => history.expected_remaining(item.expected_tokens, made_tokens),
             None => LengthHistory::default().expected_remaining(item.expected_tokens, made_tokens),
         }
     }
 
-    /// This node's items on a back end.
-    pub(super) fn on(&self, backend: &BackendId) -> Vec<ItemTokens> {
+    /// Tokens of each of this node's items on a back end, as of the last round of planning.
+    pub(super) fn items_on(&self, backend: &BackendId) -> Vec<ItemTokens> {
         self.on_backends.get(backend).cloned().unwrap_or_default()
     }
 
@@ -42,40 +48,40 @@
         })
     }
 
-    /// Begins to count anew what runs.
+    /// Forgets the items on all back ends, before a round of planning lists them again.
     pub(super) fn clear_backends(&mut self) {
         self.on_backends.clear();
     }
 
-    /// Counts what runs in a pool.
-    pub(super) fn count_running(&mut self, running: &[RunningItem]) {
+    /// Adds the running items of a pool to their back ends.
+    pub(super) fn add_running(&mut self, running: &[RunningItem]) {
         for running in running {
-            self.count(&running.backend, running.item.tokens());
+            self.add_item(&running.backend, running.item.tokens());
         }
     }
 
-    /// Counts an item on a back end.
-    pub(super) fn count(&mut self, backend: &BackendId, tokens: ItemTokens) {
+    /// Adds an item to a back end.
+    pub(super) fn add_item(&mut self, backend: &BackendId, tokens: ItemTokens) {
         let items = self.on_backends.entry(backend.clone()).or_default();
         items.push(tokens);
     }
 }
 
 impl Engine {
-    /// Remembers how long an item became that ended whole.
-    pub(super) fn note_length(&mut self, key: &ItemKey) {
+    /// Adds the length of an item whose output is whole to the statistics of its pool.
+    pub(super) fn record_length(&mut self, key: &ItemKey) {
         let Some(item) = self.items.get(key) else {
             return;
         };
-        let (events, guessed_tokens) = (item.events, item.spec.expected_tokens);
+        let (events, estimated_tokens) = (item.events, item.spec.expected_tokens);
         let Some((pool, tokens_per_event)) = self.pool_of(key) else {
             return;
         };
-        let history = self.lengths.by_pool.entry(pool).or_default();
-        history.record_finished(guessed_tokens, events.saturating_mul(tokens_per_event));
+        let history = self.item_lengths.by_pool.entry(pool).or_default();
+        history.record_finished(estimated_tokens, events.saturating_mul(tokens_per_event));
     }
 
-    /// The pool that runs an item, and the tokens of its events.
+    /// The pool that runs an item, and the number of tokens in one of its events.
     fn pool_of(&self, key: &ItemKey) -> Option<(PoolName, u32)> {
         let table = self.context.routes()?;
         let inner = self.context.partition_of(&key.batch).lock();
--- a/crates/gateway/src/engine/stalls.rs
+++ b/crates/gateway/src/engine/stalls.rs
@@ -1,40 +1,40 @@
-//! Ends runs that are stalled, so that their items go on elsewhere.
+//! Ends stalled runs, so that their items continue on other back ends.
 
 use havenstage_rollout::Millis;
 use havenstage_rollout::stall::{NodeState, Stall, StallDetector, WatchedRun};
 use log::info;
 
 use super::Engine;
-use super::candidates::ORDER_KEEPS_AWAY_MS;
-use super::live::Phase;
+use super::active_item::Phase;
+use super::candidates::LOAD_ORDER_TIMEOUT_MS;
 use super::run::{ItemKey, RunEnd};
 use crate::metrics;
 
-/// Time between two looks at the runs under way.
-const LOOK_AGAIN_MS: Millis = 100;
+/// Time between two checks of the runs in flight.
+const CHECK_INTERVAL_MS: Millis = 100;
 
-/// When the runs under way were last looked at, and what is heard of their back ends.
+/// The stall detector, and when the runs in flight were last checked.
 #[derive(Debug, Default)]
 pub(super) struct StallWatch {
     pub(super) detector: StallDetector,
-    looked_at: Millis,
+    checked_at: Millis,
 }
 
 impl Engine {
-    /// Ends the runs that are stalled, when it is time to look again.
+    /// Ends the runs that are stalled, if the next check is due.
     pub(super) fn end_stalled_runs(&mut self) {
         let now = self.context.now();
-        if now.saturating_sub(self.stalls.looked_at) < LOOK_AGAIN_MS {
+        if now.saturating_sub(self.stalls.checked_at) < CHECK_INTERVAL_MS {
             return;
         }
-        self.stalls.looked_at = now;
-        self.forget_unlisted();
+        self.stalls.checked_at = now;
+        self.remove_unlisted_backends();
         let runs = self.items.iter().filter_map(|(key, item)| {
             let Phase::Running {
                 backend,
                 since,
                 last_event,
-                stalled: Some(_),
+                stall_signal: Some(_),
                 ..
             } = &item.phase
             else {
@@ -58,27 +58,30 @@
             |backend| {
                 let control = control.lock();
                 let order = control.state.pending(backend);
-                order.is_some_and(|order| now.saturating_sub(order.since) < ORDER_KEEPS_AWAY_MS)
+                order.is_some_and(|order| now.saturating_sub(order.since) < LOAD_ORDER_TIMEOUT_MS)
             },
             node,
         );
         for stall in stalls {
-            self.end_stalled(&keys[stall.run], &stall);
+            self.end_stalled_run(&keys[stall.run], &stall);
         }
     }
 
-    /// The run tells its end itself, once it is known whether the back end ended under it.
-    fn end_stalled(&mut self, key: &ItemKey, stall: &Stall) {
+    /// Tells a run to end. The task of the run sends the end to the engine itself, once it has checked whether the
+    /// back end crashed during the run.
+    fn end_stalled_run(&mut self, key: &ItemKey, stall: &Stall) {
         let Some(item) = self.items.get_mut(key) else {
             return;
         };
         let Phase::Running {
-            backend, stalled, ..
+            backend,
+            stall_signal,
+            ..
         } = &mut item.phase
         else {
             return;
         };
-        let Some(stalled) = stalled.take() else {
+        let Some(stall_signal) = stall_signal.take() else {
             return;
         };
         let backend = backend.clone();
@@ -86,11 +89,11 @@
         info!(event = "run_stalled", request = key.item.as_str(), batch = key.batch.as_str(),
             backend = backend.as_str(), reason = stall.reason.name(), quiet_ms = stall.quiet_ms,
             events = item.events; "");
-        stalled.notify_one();
-        self.backend_failed(&backend, RunEnd::Stalled.name(), self.context.now());
+        stall_signal.notify_one();
+        self.record_backend_failure(&backend, RunEnd::Stalled.name(), self.context.now());
     }
 
-    fn forget_unlisted(&mut self) {
+    fn remove_unlisted_backends(&mut self) {
         let backends = self.context.backends.lock();
         let list = &backends.list;
         self.breakers.retain(|id, _| list.get(id).is_some());
