--- a/crates/gateway/src/coordinator/demand.rs
+++ b/crates/gateway/src/coordinator/demand.rs
@@ -110,7 +110,7 @@
     /// The back ends of a pool that are ready, with their versions, load and whether they can get an order.
     pub(super) fn targets(&self, pool: &Pool, now: Millis) -> Vec<OrderTarget> {
         let running = self.context.occupied(|_| true);
-        self.context.note_observed_versions();
+        self.context.apply_observed_versions();
         let control = self.context.control.lock();
         let backends = self.context.backends.lock();
         let min_order_age_ms = self.context.settings.bounds.order_lease_ms + MAX_ORDER_DELAY_MS;
--- a/crates/gateway/src/engine/candidates.rs
+++ b/crates/gateway/src/engine/candidates.rs
@@ -43,7 +43,7 @@
     ) -> Vec<Candidate> {
         let own_node = &self.context.node;
         let other_nodes_running = self.context.occupied(|node| node != own_node);
-        let reported_gaps_ms = self.context.told_gaps_ms(|node| node != own_node);
+        let reported_gaps_ms = self.context.reported_event_gaps_ms(|node| node != own_node);
         let other_nodes_tokens = self.other_nodes_tokens();
         let capacity = pool.and_then(|pool| pool.memory_tokens);
         let groups = self.groups_by_backend();
--- a/crates/gateway/src/engine/leases.rs
+++ b/crates/gateway/src/engine/leases.rs
@@ -73,7 +73,7 @@
             return;
         }
         if !work.held.is_empty() {
-            self.context.note_busy();
+            self.context.mark_busy();
         }
         self.send_heartbeat(&work.held, now);
         for batch in work.closed {
--- a/crates/gateway/tests/knowledge_age.rs
+++ b/crates/gateway/tests/knowledge_age.rs
@@ -96,7 +96,7 @@
     assert!(application.seen().len() > seen_before, "calls are made");
     let latest = stopped + share_of_end_delay(&node, WRITE_SHARE);
     let suspension = latest + MAX_TRANSIT - Instant::now();
-    node.hold(suspension).await;
+    node.block_thread(suspension).await;
     tokio::time::sleep(suspension + MAX_TRANSIT).await;
     let last = application.seen().last().map(|seen| seen.at).unwrap();
     assert!(last < latest, "{:?} too late", last - latest);
--- a/crates/gateway/tests/reported_speeds.rs
+++ b/crates/gateway/tests/reported_speeds.rs
@@ -29,7 +29,7 @@
 /// Whether the node knows, by reports of other nodes, the event gaps of the slow engine and of a normal one.
 fn knows_reported_speeds(node: &TestNode) -> bool {
     let own = &node.context().node;
-    let gaps_ms = node.context().told_gaps_ms(|other| other != own);
+    let gaps_ms = node.context().reported_event_gaps_ms(|other| other != own);
     let gap_ms = |engine: &str| gaps_ms.get(&BackendId::from(engine)).copied();
     gap_ms("engine-0").is_some_and(|gap_ms| gap_ms > 100.0)
         && gap_ms("engine-1").is_some_and(|gap_ms| gap_ms < 70.0)
--- a/crates/gateway/tests/suspended.rs
+++ b/crates/gateway/tests/suspended.rs
@@ -36,7 +36,7 @@
     wait_until("the items run", || deployment.engines[0].runs().len() == 2).await;
     let context = node.context().clone();
     let (before, after) = node
-        .on_its_thread(move || {
+        .run_on_node_thread(move || {
             let observe = || (context.write_by(&"batch".into()).is_some(), context.now());
             let before = observe();
             suspension::suspend_this_thread(SUSPENDED);
@@ -138,8 +138,8 @@
     let start = async |name| {
         let mut settings = settings(name);
         settings.bounds.order_lease_ms = ORDER_LEASE.as_millis() as u64;
-        let node = TestNode::start_so(NodeLog::new(&deployment.log), settings).await;
-        node.knows(1).await;
+        let node = TestNode::start_with_settings(NodeLog::new(&deployment.log), settings).await;
+        node.wait_until_known(1).await;
         node
     };
     let first = start("a").await;
