--- a/crates/gateway/examples/refusal_model.rs
+++ b/crates/gateway/examples/refusal_model.rs
@@ -1,5 +1,5 @@
-//! A model of callers, nodes and back ends on a virtual clock, in which policies of refusing calls are
-//! compared. It models the policies of `calls`, it does not run them. Prints a line for each case:
+//! Simulates callers, nodes and back ends on a virtual clock to compare policies for refusing calls. It models the
+//! policies of the module `calls` and does not run its code. It prints one line for each case:
 //!
 //! ```sh
 //! cargo run --release -p havenstage-gateway --example refusal_model
@@ -12,25 +12,25 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp, LogNormal};
 
-/// Back ends, places of each, and calls that each keeps waiting.
+/// Number of back ends, slots of each, and calls that each queues when its slots are used.
 const BACKENDS: usize = 8;
-const PLACES: usize = 4;
-const QUEUE: usize = 2;
-/// Tries of a caller.
-const TRIES: u32 = 4;
-/// Pause before a back end is asked again, and time on the way to it, in milliseconds.
-const PAUSE: f64 = 8.0;
-const WAY: f64 = 0.5;
-/// Least time that a call must have left, in milliseconds.
-const LEAST_LEFT: f64 = 5.0;
-/// Time in which callers come, in milliseconds.
-const DURATION: f64 = 30_000.0;
-/// Load while there is no burst, relative to the capacity.
+const SLOTS: usize = 4;
+const MAX_QUEUED_CALLS: usize = 2;
+/// Most attempts of a caller.
+const MAX_ATTEMPTS: u32 = 4;
+/// Pause before a call is sent to the same back end again, and network delay to a back end, in milliseconds.
+const RETRY_PAUSE_MS: f64 = 8.0;
+const NETWORK_DELAY_MS: f64 = 0.5;
+/// Least time before its deadline at which a call is still sent, in milliseconds.
+const MIN_REMAINING_MS: f64 = 5.0;
+/// Simulated time in which callers arrive, in milliseconds.
+const DURATION_MS: f64 = 30_000.0;
+/// Load outside bursts and outages, relative to the capacity.
 const USUAL_LOAD: f64 = 0.7;
-/// Seeds of each case.
+/// Seeds with which each case runs.
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=20;
 
-/// What callers want and how long answers take, in milliseconds.
+/// Requirements of callers and the mean duration of answers, in milliseconds.
 struct Setting {
     name: &'static str,
     objective: f64,
@@ -41,39 +41,39 @@
 
 #[derive(Clone, Copy)]
 enum Load {
-    /// So many times the capacity for 1.5 s of each 5 s.
+    /// This multiple of the capacity for 1.5 s of each 5 s.
     Bursts(f64),
-    /// So many times the capacity all the time.
+    /// This multiple of the capacity all the time.
     Steady(f64),
-    /// The back ends are gone for so long in each 10 s.
-    Gone(f64),
+    /// All back ends are unavailable for this many milliseconds of each 10 s.
+    Outages(f64),
 }
 
 #[derive(Clone, Copy)]
-enum ComeBack {
+enum RetryAfter {
     After(f64),
-    /// When a place is expected: after as many refused callers as there are, by the rate of answers.
+    /// When a slot is expected to be free for this caller: refused callers are spaced by the rate of answers.
     ByRate,
 }
 
 #[derive(Clone, Copy)]
 struct Policy {
     name: &'static str,
-    /// Share of the objective for which a call is held that is turned away.
+    /// Share of the objective for which a node holds and retries a rejected call before it refuses the caller.
     hold: f64,
-    come_back: ComeBack,
-    /// Share of the objective after which a caller comes back who was refused at once as there are no
-    /// back ends; without one it is held like the others.
-    gone: Option<f64>,
+    retry_after: RetryAfter,
+    /// Share of the objective after which a caller retries that was refused at once because no back end is available;
+    /// if `None`, such calls are held like rejected ones.
+    retry_after_outage: Option<f64>,
 }
 
 struct Caller {
-    came: f64,
+    arrived_at: f64,
     deadline: f64,
-    tries: u32,
+    attempts: u32,
     node: usize,
-    asked: f64,
-    asked_backends: u32,
+    began_at: f64,
+    sent_backends: u32,
     held: f64,
     end: Option<(f64, bool)>,
 }
@@ -81,8 +81,8 @@
 #[derive(Clone, Copy)]
 enum Event {
     Arrive(usize),
-    Try(usize),
-    Reach(usize, usize),
+    Send(usize),
+    ReachBackend(usize, usize),
     Answer(usize, usize),
 }
 
@@ -97,7 +97,7 @@
 struct Node {
     in_flight: [u32; BACKENDS],
     answers: VecDeque<f64>,
-    last_return: f64,
+    last_retry_at: f64,
 }
 
 struct Model<'a> {
@@ -105,7 +105,7 @@
     load: Load,
     policy: Policy,
     random: ChaCha8Rng,
-    /// Time in nanoseconds, number of the event, and the event's place in `events`.
+    /// Pending events: the time in nanoseconds and the index in `events`.
     queue: BinaryHeap<Reverse<(u64, usize)>>,
     events: Vec<Event>,
     callers: Vec<Caller>,
@@ -133,7 +133,7 @@
         }
     }
 
-    fn at(&mut self, time: f64, event: Event) {
+    fn schedule(&mut self, time: f64, event: Event) {
         self.queue
             .push(Reverse(((time * 1e6) as u64, self.events.len())));
         self.events.push(event);
@@ -143,29 +143,29 @@
         match self.load {
             Load::Bursts(load) if time % 5_000.0 < 1_500.0 => load,
             Load::Steady(load) => load,
-            Load::Bursts(_) | Load::Gone(_) => USUAL_LOAD,
+            Load::Bursts(_) | Load::Outages(_) => USUAL_LOAD,
         }
     }
 
-    fn are_gone(&self, time: f64) -> bool {
+    fn is_outage(&self, time: f64) -> bool {
         let since = time % 10_000.0 - 3_000.0;
-        matches!(self.load, Load::Gone(away) if (0.0..away).contains(&since))
+        matches!(self.load, Load::Outages(away) if (0.0..away).contains(&since))
     }
 
     fn run(mut self) -> Vec<Caller> {
-        let capacity = (BACKENDS * PLACES) as f64 / self.setting.mean_answer;
+        let capacity = (BACKENDS * SLOTS) as f64 / self.setting.mean_answer;
         let mut time = 0.0;
-        while time < DURATION {
+        while time < DURATION_MS {
             let gap = Exp::new(capacity * self.load_at(time)).expect("a positive rate");
             time += gap.sample(&mut self.random);
-            self.at(time, Event::Arrive(self.callers.len()));
+            self.schedule(time, Event::Arrive(self.callers.len()));
             self.callers.push(Caller {
-                came: time,
+                arrived_at: time,
                 deadline: time + self.setting.deadline,
-                tries: 0,
+                attempts: 0,
                 node: 0,
-                asked: time,
-                asked_backends: 0,
+                began_at: time,
+                sent_backends: 0,
                 held: 0.0,
                 end: None,
             });
@@ -174,8 +174,8 @@
             let time = time as f64 / 1e6;
             match self.events[event] {
                 Event::Arrive(caller) => self.arrive(time, caller),
-                Event::Try(caller) => self.try_one(time, caller),
-                Event::Reach(caller, backend) => self.reach(time, caller, backend),
+                Event::Send(caller) => self.send_call(time, caller),
+                Event::ReachBackend(caller, backend) => self.reach_backend(time, caller, backend),
                 Event::Answer(caller, backend) => self.answer(time, caller, backend),
             }
         }
@@ -186,57 +186,60 @@
         let node = self.random.random_range(0..self.setting.nodes);
         let call = &mut self.callers[caller];
         call.node = node;
-        call.tries += 1;
-        call.asked = time;
-        call.asked_backends = 0;
-        self.try_one(time, caller);
+        call.attempts += 1;
+        call.began_at = time;
+        call.sent_backends = 0;
+        self.send_call(time, caller);
     }
 
-    fn try_one(&mut self, time: f64, caller: usize) {
+    fn send_call(&mut self, time: f64, caller: usize) {
         let call = &self.callers[caller];
         let hold = self.policy.hold * self.setting.objective;
-        if time + LEAST_LEFT >= call.deadline || time - call.asked > hold {
-            let come_back = self.come_back(time, call.node);
-            return self.refuse(time, caller, come_back);
+        if time + MIN_REMAINING_MS >= call.deadline || time - call.began_at > hold {
+            let retry_after = self.retry_after(time, call.node);
+            return self.refuse(time, caller, retry_after);
         }
-        if self.are_gone(time) {
-            return match self.policy.gone {
+        if self.is_outage(time) {
+            return match self.policy.retry_after_outage {
                 Some(share) => {
                     self.refuse(time, caller, (share * self.setting.objective).max(50.0))
                 }
-                None => self.at(time + PAUSE, Event::Try(caller)),
+                None => self.schedule(time + RETRY_PAUSE_MS, Event::Send(caller)),
             };
         }
         let backend = self.choose(caller);
         let call = &mut self.callers[caller];
-        let is_again = call.asked_backends & (1 << backend) != 0;
-        call.asked_backends |= 1 << backend;
-        let pause = if is_again { PAUSE } else { 0.0 };
-        self.at(time + pause + WAY, Event::Reach(caller, backend));
+        let is_again = call.sent_backends & (1 << backend) != 0;
+        call.sent_backends |= 1 << backend;
+        let pause = if is_again { RETRY_PAUSE_MS } else { 0.0 };
+        self.schedule(
+            time + pause + NETWORK_DELAY_MS,
+            Event::ReachBackend(caller, backend),
+        );
     }
 
-    /// One that was not asked yet if there is one, then the one with the least of this node's calls.
+    /// Prefers a back end that this call was not sent to yet, then the one with the fewest calls of this node.
     fn choose(&mut self, caller: usize) -> usize {
         let call = &self.callers[caller];
         let in_flight = self.nodes[call.node].in_flight;
-        let asked = call.asked_backends;
+        let sent = call.sent_backends;
         let first = self.random.random_range(0..BACKENDS);
         (0..BACKENDS)
             .map(|at| (first + at) % BACKENDS)
-            .min_by_key(|at| (asked & (1 << at) != 0, in_flight[*at]))
+            .min_by_key(|at| (sent & (1 << at) != 0, in_flight[*at]))
             .expect("there are back ends")
     }
 
-    fn reach(&mut self, time: f64, caller: usize, backend: usize) {
+    fn reach_backend(&mut self, time: f64, caller: usize, backend: usize) {
         let node = self.callers[caller].node;
-        if self.backends[backend].busy < PLACES {
+        if self.backends[backend].busy < SLOTS {
             self.nodes[node].in_flight[backend] += 1;
             self.begin(time, caller, backend);
-        } else if self.backends[backend].waiting.len() < QUEUE {
+        } else if self.backends[backend].waiting.len() < MAX_QUEUED_CALLS {
             self.nodes[node].in_flight[backend] += 1;
             self.backends[backend].waiting.push_back(caller);
         } else {
-            self.at(time + WAY, Event::Try(caller));
+            self.schedule(time + NETWORK_DELAY_MS, Event::Send(caller));
         }
     }
 
@@ -245,7 +248,7 @@
         let spread = LogNormal::new(-0.125, 0.5).expect("a positive deviation");
         let took = spread.sample(&mut self.random) * self.setting.mean_answer;
         let took = took * self.backends[backend].speed;
-        self.at(time + took, Event::Answer(caller, backend));
+        self.schedule(time + took, Event::Answer(caller, backend));
     }
 
     fn answer(&mut self, time: f64, caller: usize, backend: usize) {
@@ -265,8 +268,8 @@
         }
     }
 
-    fn come_back(&mut self, time: f64, node: usize) -> f64 {
-        if let ComeBack::After(pause) = self.policy.come_back {
+    fn retry_after(&mut self, time: f64, node: usize) -> f64 {
+        if let RetryAfter::After(pause) = self.policy.retry_after {
             return pause;
         }
         let node = &mut self.nodes[node];
@@ -274,31 +277,32 @@
             node.answers.pop_front();
         }
         let gap = 1_000.0 / node.answers.len().max(1) as f64;
-        let next = (node.last_return + gap).clamp(time + 50.0, time + 1_000.0);
-        node.last_return = next;
+        let next = (node.last_retry_at + gap).clamp(time + 50.0, time + 1_000.0);
+        node.last_retry_at = next;
         next - time
     }
 
-    fn refuse(&mut self, time: f64, caller: usize, come_back: f64) {
+    fn refuse(&mut self, time: f64, caller: usize, retry_after: f64) {
         let call = &mut self.callers[caller];
-        call.held += time - call.asked;
+        call.held += time - call.began_at;
         let left = call.deadline - time;
-        if call.tries >= TRIES || left < 20.0 {
+        if call.attempts >= MAX_ATTEMPTS || left < 20.0 {
             call.end = Some((time, false));
             return;
         }
-        self.at(time + come_back.min(left / 3.0), Event::Arrive(caller));
+        self.schedule(time + retry_after.min(left / 3.0), Event::Arrive(caller));
     }
 }
 
-/// Share on time, share served, mean time held of those not served.
+/// Share of calls served within the objective, share served at all, and mean time in milliseconds for which calls
+/// that were not served were held.
 fn figures(setting: &Setting, load: Load, policy: Policy, seed: u64) -> [f64; 3] {
     let callers = Model::new(setting, load, policy, seed).run();
     let ends = callers.iter().filter_map(|call| Some((call, call.end?)));
     let served: Vec<f64> = ends
         .clone()
         .filter(|(_, (_, is_served))| *is_served)
-        .map(|(call, (time, _))| time - call.came)
+        .map(|(call, (time, _))| time - call.arrived_at)
         .collect();
     let on_time = served.iter().filter(|took| **took <= setting.objective);
     let lost: Vec<f64> = ends
@@ -358,18 +362,18 @@
     let held = Policy {
         name: "held",
         hold: 0.2,
-        come_back: ComeBack::After(50.0),
-        gone: None,
+        retry_after: RetryAfter::After(50.0),
+        retry_after_outage: None,
     };
     let at_once = |name, share| Policy {
         name,
-        gone: Some(share),
+        retry_after_outage: Some(share),
         ..held
     };
     let gone = [
-        ("gone 0.1 s", Load::Gone(100.0)),
-        ("gone 0.4 s", Load::Gone(400.0)),
-        ("gone 2 s", Load::Gone(2_000.0)),
+        ("gone 0.1 s", Load::Outages(100.0)),
+        ("gone 0.4 s", Load::Outages(400.0)),
+        ("gone 2 s", Load::Outages(2_000.0)),
     ];
     let shares = [
         held,
@@ -384,17 +388,17 @@
         ("steady 1.25", Load::Steady(1.25)),
         ("steady 0.95", Load::Steady(0.95)),
     ];
-    let back = |name, come_back| Policy {
+    let back = |name, retry_after| Policy {
         name,
-        come_back,
+        retry_after,
         ..held
     };
     let returns = [
-        back("back after 50 ms", ComeBack::After(50.0)),
-        back("back after 100 ms", ComeBack::After(100.0)),
-        back("back after 200 ms", ComeBack::After(200.0)),
-        back("back after 400 ms", ComeBack::After(400.0)),
-        back("back by the rate", ComeBack::ByRate),
+        back("back after 50 ms", RetryAfter::After(50.0)),
+        back("back after 100 ms", RetryAfter::After(100.0)),
+        back("back after 200 ms", RetryAfter::After(200.0)),
+        back("back after 400 ms", RetryAfter::After(400.0)),
+        back("back by the rate", RetryAfter::ByRate),
     ];
     compare(&settings, &overload, &returns);
     let hold = |name, hold| Policy { name, hold, ..held };
@@ -403,7 +407,7 @@
         hold("held 0.125", 0.125),
         hold("held 0.1", 0.1),
         Policy {
-            come_back: ComeBack::After(100.0),
+            retry_after: RetryAfter::After(100.0),
             ..hold("held 0.1, back 100 ms", 0.1)
         },
     ];
--- a/crates/gateway/tests/explain.rs
+++ b/crates/gateway/tests/explain.rs
@@ -1,4 +1,4 @@
-//! From the id of a failed request to its cause, by the log lines alone.
+//! The log lines alone lead from the id of a failed request or batch to the cause of the failure.
 
 mod support;
 
@@ -22,7 +22,7 @@
 
 type Line = BTreeMap<String, String>;
 
-/// Keeps the fields of all lines.
+/// A logger that stores the fields of all lines.
 struct Capture(Mutex<Vec<Line>>);
 
 struct Fields(Line);
@@ -82,11 +82,11 @@
 }
 
 #[tokio::test]
-async fn a_refused_call_names_the_back_ends_that_turned_it_away() {
+async fn a_refused_call_names_the_back_ends_that_rejected_it() {
     capture();
     let deployment = Deployment::start(0, 1).await;
     let node = deployment.node("a").await;
-    deployment.applications[0].behave(|told| told.call = CallBehaviour::NotRun);
+    deployment.applications[0].behave(|behaviour| behaviour.call = CallBehaviour::NotRun);
     assert_eq!(
         call(node.callers, "refused-call", "/calls/path")
             .await
@@ -111,7 +111,7 @@
     capture();
     let deployment = Deployment::start(1, 1).await;
     let node = deployment.node("a").await;
-    deployment.applications[0].behave(|told| told.call = CallBehaviour::Fail);
+    deployment.applications[0].behave(|behaviour| behaviour.call = CallBehaviour::Fail);
     let batch = write_batch(1, &[("given-up-item", "g")], true);
     assert_eq!(submit(node.callers, "batch-of-item", &batch).await, 202);
     let results = wait_for_results(node.callers, "batch-of-item", 1).await;
@@ -130,12 +130,12 @@
     let deployment = Deployment::start(2, 0).await;
     let node = deployment.node("a").await;
     for engine in &deployment.engines {
-        engine.behave(|told| told.breaks_after = Some(2));
+        engine.behave(|behaviour| behaviour.breaks_after = Some(2));
     }
     let headers = [("x-id", "cut-off-stream")];
     let answer = send(node.callers, Method::POST, "/streams/once/s", &headers, "").await;
     assert!(answer.is_err());
-    wait_until("the break is told", || {
+    wait_until("the break is logged", || {
         !lines("stream", "cut-off-stream").is_empty()
     })
     .await;
@@ -145,11 +145,11 @@
 }
 
 #[tokio::test]
-async fn a_call_whose_caller_left_says_so() {
+async fn a_call_whose_caller_left_logs_that_outcome() {
     capture();
     let deployment = Deployment::start(0, 1).await;
     let node = deployment.node("a").await;
-    deployment.applications[0].behave(|told| told.call = CallBehaviour::Silent);
+    deployment.applications[0].behave(|behaviour| behaviour.call = CallBehaviour::Silent);
     let headers = [("x-id", "left-call"), ("x-deadline", "2500")];
     let sent = send(node.callers, Method::POST, "/once/path", &headers, "");
     assert!(
@@ -157,7 +157,7 @@
             .await
             .is_err()
     );
-    wait_until("the leave is told", || {
+    wait_until("the disconnect is logged", || {
         !lines("call", "left-call").is_empty()
     })
     .await;
@@ -167,20 +167,20 @@
     assert_eq!(line["backends"], "application-0");
 }
 
-/// An owner that cannot tell that it is alive says so: others will claim its batches.
+/// An owner logs that it cannot append its heartbeat, as other nodes will then claim its batches.
 #[tokio::test]
-async fn a_heartbeat_that_is_not_written_leaves_a_line() {
+async fn a_heartbeat_that_is_not_written_is_logged() {
     capture();
     let deployment = Deployment::start(1, 0).await;
     let node = deployment.node("a").await;
-    deployment.engines[0].behave(|told| told.event_pause = Duration::from_millis(300));
+    deployment.engines[0].behave(|behaviour| behaviour.event_pause = Duration::from_millis(300));
     let batch = write_batch(1, &[("slow-item", "g")], false);
     assert_eq!(submit(node.callers, "slow-batch", &batch).await, 202);
     node.set_faults(LogFaults {
         refuses_appends: true,
         ..LogFaults::default()
     });
-    let is_told = || {
+    let is_logged = || {
         let kept = capture().0.lock().unwrap();
         kept.iter().any(|line| {
             line.get("event")
@@ -190,17 +190,17 @@
                     .is_some_and(|named| named == "control")
         })
     };
-    wait_until("the heartbeat that was refused is told", is_told).await;
+    wait_until("the refused heartbeat is logged", is_logged).await;
 }
 
-/// Asks for the end of a batch, and returns the status.
-async fn end(node: &TestNode, batch: &str) -> u16 {
+/// Requests the end of a batch, and returns the status.
+async fn end_batch(node: &TestNode, batch: &str) -> u16 {
     let path = format!("/results/{batch}");
     let ended = send(node.callers, Method::DELETE, &path, &[], "").await;
     ended.unwrap().status.as_u16()
 }
 
-/// A number that a line has.
+/// Value of a numeric field of a line.
 fn number(line: &Line, field: &str) -> u64 {
     let value = line
         .get(field)
@@ -210,23 +210,23 @@
         .unwrap_or_else(|_| panic!("{field} in {line:?}"))
 }
 
-/// Outcome and status of the lines on the ends of a batch.
-fn ends_told(batch: &str) -> Vec<(String, String)> {
+/// Outcome and status of each `batch_end` line of a batch.
+fn logged_ends(batch: &str) -> Vec<(String, String)> {
     let lines = batch_lines("batch_end", batch);
-    let told = lines.iter().map(|line| {
+    let ends = lines.iter().map(|line| {
         number(line, "took_ms");
         (line["outcome"].clone(), line["status"].clone())
     });
-    told.collect()
+    ends.collect()
 }
 
-fn told(outcome: &str, status: &str) -> (String, String) {
+fn end_line(outcome: &str, status: &str) -> (String, String) {
     (outcome.to_owned(), status.to_owned())
 }
 
-/// An engine whose items last longer than any test here, and a batch of two of them that runs.
-async fn batch_that_runs(deployment: &Deployment, node: &TestNode, batch: &str) {
-    deployment.engines[0].behave(|told| told.event_pause = Duration::from_secs(60));
+/// Starts a batch of two items that run longer than any test here, and waits until both run.
+async fn start_running_batch(deployment: &Deployment, node: &TestNode, batch: &str) {
+    deployment.engines[0].behave(|behaviour| behaviour.event_pause = Duration::from_secs(60));
     let (one, two) = (format!("{batch}-one"), format!("{batch}-two"));
     let body = write_batch(1, &[(&one, "g"), (&two, "g")], false);
     assert_eq!(submit(node.callers, batch, &body).await, 202);
@@ -237,16 +237,16 @@
 }
 
 #[tokio::test]
-async fn an_end_says_what_came_of_it_and_how_long_it_took() {
+async fn an_end_logs_its_outcome_and_duration() {
     capture();
     let deployment = Deployment::start(1, 0).await;
     let node = deployment.node("a").await;
-    batch_that_runs(&deployment, &node, "ended-batch").await;
+    start_running_batch(&deployment, &node, "ended-batch").await;
     node.set_faults(LogFaults {
         slow_batch_appends: true,
         ..LogFaults::default()
     });
-    assert_eq!(end(&node, "ended-batch").await, 200);
+    assert_eq!(end_batch(&node, "ended-batch").await, 200);
     let context = node.context().clone();
     wait_until("the end is known", || {
         let inner = context.partition_of(&"ended-batch".into()).lock();
@@ -254,36 +254,39 @@
         batch.is_some_and(|batch| batch.ended)
     })
     .await;
-    assert_eq!(end(&node, "ended-batch").await, 200);
-    let expected = [told("appended", "200"), told("already_ended", "200")];
-    assert_eq!(ends_told("ended-batch"), expected);
+    assert_eq!(end_batch(&node, "ended-batch").await, 200);
+    let expected = [
+        end_line("appended", "200"),
+        end_line("already_ended", "200"),
+    ];
+    assert_eq!(logged_ends("ended-batch"), expected);
     // The append took 120 ms.
     let appended = &batch_lines("batch_end", "ended-batch")[0];
     assert!(number(appended, "took_ms") >= 120, "{appended:?}");
-    assert_eq!(end(&node, "batch-that-is-not-there").await, 404);
-    let expected = [told("not_there", "404")];
-    assert_eq!(ends_told("batch-that-is-not-there"), expected);
+    assert_eq!(end_batch(&node, "batch-that-is-not-there").await, 404);
+    let expected = [end_line("not_there", "404")];
+    assert_eq!(logged_ends("batch-that-is-not-there"), expected);
 }
 
 #[tokio::test]
-async fn an_end_that_could_not_be_appended_says_so() {
+async fn an_end_that_could_not_be_appended_is_logged() {
     capture();
     let deployment = Deployment::start(1, 0).await;
     let node = deployment.node("a").await;
-    batch_that_runs(&deployment, &node, "batch-that-stays").await;
+    start_running_batch(&deployment, &node, "batch-that-stays").await;
     node.set_faults(LogFaults {
         refuses_appends: true,
         ..LogFaults::default()
     });
-    assert_eq!(end(&node, "batch-that-stays").await, 503);
-    let expected = [told("not_appended", "503")];
-    assert_eq!(ends_told("batch-that-stays"), expected);
+    assert_eq!(end_batch(&node, "batch-that-stays").await, 503);
+    let expected = [end_line("not_appended", "503")];
+    assert_eq!(logged_ends("batch-that-stays"), expected);
 }
 
-/// An end was refused because its partition could not be read, and only `read_refused` was told of it,
-/// without the batch: a search for the batch found nothing of its end.
+/// An end was refused because its partition could not be read, and only `read_refused` was logged, without the batch.
+/// A search of the log for the batch then found nothing about its end.
 #[tokio::test]
-async fn an_end_whose_partition_cannot_be_read_leaves_both_lines() {
+async fn an_end_whose_partition_cannot_be_read_logs_both_events() {
     capture();
     let deployment = Deployment::start(1, 0).await;
     let node = deployment.node("a").await;
@@ -291,9 +294,9 @@
         reads_hang: true,
         ..LogFaults::default()
     });
-    assert_eq!(end(&node, "unread-batch").await, 503);
-    let expected = [told("not_appended", "503")];
-    assert_eq!(ends_told("unread-batch"), expected);
+    assert_eq!(end_batch(&node, "unread-batch").await, 503);
+    let expected = [end_line("not_appended", "503")];
+    assert_eq!(logged_ends("unread-batch"), expected);
     let refused = &batch_lines("read_refused", "unread-batch")[0];
     assert_eq!(refused["status"], "503");
     assert!(refused["partition"].starts_with("batches "), "{refused:?}");
@@ -304,9 +307,9 @@
     assert!(number(ended, "took_ms") >= 300, "{ended:?}");
 }
 
-/// The same for a reader's calls: those that ask for what is new, and those for an item.
+/// Refused calls that read results, for new ones or for one item, name the batch and the wait too.
 #[tokio::test]
-async fn a_read_that_is_refused_names_its_batch_and_how_long_it_waited() {
+async fn a_refused_read_names_its_batch_and_its_wait() {
     capture();
     let deployment = Deployment::start(1, 0).await;
     let node = deployment.node("a").await;
@@ -328,12 +331,12 @@
 }
 
 #[tokio::test]
-async fn an_owner_says_when_it_learned_of_an_end() {
+async fn an_owner_logs_when_it_learned_of_an_end() {
     capture();
     let deployment = Deployment::start(1, 0).await;
     let (owner, other) = (deployment.node("a").await, deployment.node("b").await);
-    batch_that_runs(&deployment, &owner, "end-seen").await;
-    assert_eq!(end(&other, "end-seen").await, 200);
+    start_running_batch(&deployment, &owner, "end-seen").await;
+    assert_eq!(end_batch(&other, "end-seen").await, 200);
     wait_until("the items are dropped", || {
         batch_lines("item_dropped", "end-seen").len() == 2
     })
@@ -346,17 +349,17 @@
     number(&seen[0], "known_age_ms");
 }
 
-/// Items of a batch that is no longer known were told to be dropped for the batch's end, which nobody had
-/// asked for.
+/// Items of a batch that is no longer known were logged as dropped because the batch had ended, although nobody had
+/// requested its end.
 #[tokio::test]
-async fn items_whose_batch_is_no_longer_known_are_not_told_to_have_ended() {
+async fn items_whose_batch_is_no_longer_known_are_not_logged_as_ended() {
     capture();
     let deployment = Deployment::start(1, 0).await;
     let node = deployment.node("a").await;
-    batch_that_runs(&deployment, &node, "lost-batch").await;
+    start_running_batch(&deployment, &node, "lost-batch").await;
     let partition = node.context().partition_of(&"lost-batch".into());
     let (name, next) = (partition.id.to_string(), partition.lock().next);
-    // Far enough that it is a skip whatever the node reads meanwhile.
+    // Far enough ahead to be a skip, whatever the node reads in the meantime.
     partition.skip_to(next + 1_000, node.context().now());
     node.context().work.notify_one();
     wait_until("the items are dropped", || {
@@ -369,11 +372,11 @@
     let first = (next + 1_000).to_string();
     let skips = lines_with("history_skipped", "partition", &name);
     let skip = skips.iter().find(|line| line["first"] == first);
-    assert!(number(skip.expect("the skip is told"), "from") >= next);
+    assert!(number(skip.expect("the skip is logged"), "from") >= next);
 }
 
-/// A partition of batches that no node of these tests has.
-fn lone_view(partition: u32) -> StreamView<PartitionState> {
+/// A view of a batch partition that no node of these tests uses.
+fn unused_view(partition: u32) -> StreamView<PartitionState> {
     let id = StreamPartition {
         stream: LogStream::Batches(1_000),
         partition,
@@ -390,8 +393,8 @@
     }
 }
 
-/// Where the skips of a partition began and ended.
-fn skips_told(view: &StreamView<PartitionState>) -> Vec<(u64, u64)> {
+/// First skipped offset and first kept offset of each logged skip of a partition.
+fn logged_skips(view: &StreamView<PartitionState>) -> Vec<(u64, u64)> {
     let lines = lines_with("history_skipped", "partition", &view.id.to_string());
     let skips = lines.iter();
     skips
@@ -399,46 +402,48 @@
         .collect()
 }
 
-/// Both ways in which the log says that records are gone.
+/// A skip is logged for both ways in which the log reports dropped records: an error, and a page that starts later.
 #[test]
-fn records_that_were_dropped_unread_leave_a_line() {
+fn records_that_were_dropped_unread_are_logged() {
     capture();
-    let view = lone_view(0);
+    let view = unused_view(0);
     view.apply_page(page_at(0), 0, 1);
-    assert_eq!(skips_told(&view), []);
+    assert_eq!(logged_skips(&view), []);
     view.skip_to(4, 1);
     view.apply_page(page_at(9), 1, 2);
-    assert_eq!(skips_told(&view), [(0, 4), (4, 9)]);
-    // Nothing is missed here.
+    assert_eq!(logged_skips(&view), [(0, 4), (4, 9)]);
+    // Nothing is skipped here.
     view.skip_to(9, 2);
     view.apply_page(page_at(9), 2, 3);
-    assert_eq!(skips_told(&view).len(), 2);
+    assert_eq!(logged_skips(&view).len(), 2);
 }
 
-/// A partition whose beginning is past its retention is forgotten and read from 0 over and over.
+/// A partition whose oldest records are past their retention is forgotten and read from 0 repeatedly; its skip is
+/// logged once.
 #[test]
-fn a_beginning_that_is_gone_is_told_once() {
+fn dropped_oldest_records_are_logged_once() {
     capture();
-    let view = lone_view(1);
+    let view = unused_view(1);
     for read in 1..=3 {
         view.skip_to(10 * read, read);
         view.forget_if_older_than(u64::MAX);
         assert_eq!(view.lock().next, 0);
     }
-    assert_eq!(skips_told(&view), [(0, 10)]);
+    assert_eq!(logged_skips(&view), [(0, 10)]);
     view.apply_page(page_at(40), 0, 1);
     view.apply_page(page_at(50), 1, 2);
-    assert_eq!(skips_told(&view), [(0, 10), (40, 50)]);
+    assert_eq!(logged_skips(&view), [(0, 10), (40, 50)]);
 }
 
-/// Lines are dropped when their budget is used up; what they say of the age of knowledge is counted too.
+/// Log lines may be dropped when their budget is used up, so the age of the knowledge at the start of a run is also
+/// recorded as a metric.
 #[tokio::test]
-async fn the_age_of_knowledge_at_starts_is_counted() {
+async fn the_age_of_knowledge_at_run_starts_is_recorded() {
     capture();
     let metrics = metrics::start("127.0.0.1:0".parse().unwrap()).unwrap();
     let deployment = Deployment::start(1, 0).await;
     let node = deployment.node("a").await;
-    batch_that_runs(&deployment, &node, "counted-batch").await;
+    start_running_batch(&deployment, &node, "counted-batch").await;
     let started = &lines("run_started", "counted-batch-one")[0];
     number(started, "known_age_ms");
     let text = metrics.render();
@@ -447,7 +452,7 @@
         count.parse::<u64>().ok()
     });
     assert!(count.is_some_and(|count| count >= 2), "{text}");
-    // Runs are started up to 2 s and their requests written up to 2.55 s.
+    // Runs are started on knowledge of up to 2 s, and their requests written up to 2.55 s.
     for bound in ["2000", "2550"] {
         let bucket = format!("gateway_run_knowledge_age_ms_bucket{{le=\"{bound}\"}}");
         assert!(text.contains(&bucket), "{text}");
--- a/crates/gateway/tests/second_sends.rs
+++ b/crates/gateway/tests/second_sends.rs
@@ -26,9 +26,9 @@
     let deployment = Deployment::start(0, 1).await;
     let node = deployment.node("a").await;
     deployment.applications[0].behave(|behaviour| behaviour.call = CallBehaviour::Silent);
-    let before = node.processor_time().await;
+    let before = node.cpu_time().await;
     let answer = call(node.callers, "call", "/calls/path").await;
-    let used = node.processor_time().await - before;
+    let used = node.cpu_time().await - before;
     assert_eq!(answer.status, StatusCode::GATEWAY_TIMEOUT);
     assert_eq!(deployment.applications[0].seen().len(), 1);
     assert!(
@@ -45,9 +45,9 @@
     let node = deployment.node("a").await;
     deployment.applications[0].behave(|behaviour| behaviour.call = CallBehaviour::Silent);
     deployment.applications[1].behave(|behaviour| behaviour.call = CallBehaviour::Break);
-    let before = node.processor_time().await;
+    let before = node.cpu_time().await;
     let answer = call(node.callers, "call", "/calls/path").await;
-    let used = node.processor_time().await - before;
+    let used = node.cpu_time().await - before;
     assert_eq!(answer.status, StatusCode::GATEWAY_TIMEOUT);
     for application in &deployment.applications {
         assert_eq!(application.seen().len(), 1);
--- a/crates/gateway/tests/settings.rs
+++ b/crates/gateway/tests/settings.rs
@@ -1,10 +1,10 @@
-//! Settings that cannot be used are refused with the file, the key, the value and what is allowed.
+//! Invalid settings are rejected with an error that names the file, the key, the value and the allowed values.
 
 use std::path::Path;
 
 use havenstage_gateway::settings::Settings;
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
 node = "a"
 zone = "z"
 unknown_key = "is passed over"
@@ -24,45 +24,45 @@
 retention_s = 120
 "#;
 
-fn error(old: &str, new: &str) -> String {
-    let text = GOOD.replace(old, new);
-    assert_ne!(text, GOOD);
+fn error_after_replacing(old: &str, new: &str) -> String {
+    let text = VALID.replace(old, new);
+    assert_ne!(text, VALID);
     Settings::parse(Path::new("node.toml"), &text)
         .unwrap_err()
         .to_string()
 }
 
 #[test]
-fn good_settings_are_taken_and_unknown_keys_passed_over() {
-    let settings = Settings::parse(Path::new("node.toml"), GOOD).unwrap();
+fn valid_settings_are_accepted_and_unknown_keys_ignored() {
+    let settings = Settings::parse(Path::new("node.toml"), VALID).unwrap();
     assert_eq!(settings.tuning.loads_at_once, 2);
     assert_eq!(settings.listen.metrics, None);
 }
 
 #[test]
 fn a_value_out_of_range_names_file_key_value_and_range() {
-    let text = error("partitions = 8", "partitions = 0");
+    let text = error_after_replacing("partitions = 8", "partitions = 0");
     assert_eq!(
         text,
         "node.toml: log.partitions is 0, allowed is at least 1"
     );
-    let text = error("stop_grace_s = 8", "stop_grace_s = -1.0");
+    let text = error_after_replacing("stop_grace_s = 8", "stop_grace_s = -1.0");
     assert!(text.contains("bounds.stop_grace_s is -1"), "{text}");
 }
 
 #[test]
-fn a_malformed_or_missing_value_names_its_place() {
-    let text = error("127.0.0.1:1", "nowhere");
+fn a_malformed_or_missing_value_is_named() {
+    let text = error_after_replacing("127.0.0.1:1", "nowhere");
     assert!(
         text.starts_with("node.toml: ") && text.contains("callers"),
         "{text}"
     );
-    let text = error("node = \"a\"", "");
+    let text = error_after_replacing("node = \"a\"", "");
     assert!(text.contains("node"), "{text}");
 }
 
 #[test]
-fn a_file_that_is_not_there_is_named() {
+fn a_missing_file_is_named() {
     let error = Settings::load(Path::new("/nowhere/node.toml"))
         .unwrap_err()
         .to_string();
--- a/crates/gateway/tests/silence.rs
+++ b/crates/gateway/tests/silence.rs
@@ -1,8 +1,9 @@
-//! Back ends whose kept connections all fall silent at a moment, without a reset, while new ones work.
+//! Keep-alive connections to all back ends stop delivering data at the same moment, without a reset, while new
+//! connections work.
 //!
-//! What happened: a repeatable call was sent over a silent connection; at half of its objective it was
-//! sent to a second back end, whose kept connections had fallen silent with the others. Both sends
-//! waited until the deadline, and the caller got 504, though a new connection would have been answered.
+//! The tests guard against this failure: a repeatable call was sent over a silent connection and, at half of its
+//! objective, to a second back end, whose keep-alive connections were silent too. Both sends waited until the
+//! deadline, and the caller got 504, although a new connection would have been answered.
 
 mod support;
 
@@ -24,9 +25,9 @@
 use support::dialect::write_batch;
 
 const BACKENDS: usize = 2;
-/// Calls that are made at once, so that connections to all back ends are kept.
+/// Calls made at the same time, so that each back end has idle keep-alive connections.
 const CALLS: usize = 12;
-/// Objective of the route for calls.
+/// Latency objective of the routes, `objective_ms`.
 const OBJECTIVE: Duration = Duration::from_millis(1_000);
 
 /// Lists a back end at the address of a proxy.
@@ -51,10 +52,10 @@
 }
 
 async fn start(pool: &str) -> (Vec<Arc<StandInBackend>>, Vec<SilencingProxy>, TestNode) {
-    start_with(BACKENDS, pool).await
+    start_with_count(BACKENDS, pool).await
 }
 
-async fn start_with(
+async fn start_with_count(
     count: usize,
     pool: &str,
 ) -> (Vec<Arc<StandInBackend>>, Vec<SilencingProxy>, TestNode) {
@@ -70,7 +71,7 @@
     (backends, proxies, node)
 }
 
-async fn call_often(node: &TestNode, name: &str, path: &str) -> Vec<u16> {
+async fn call_concurrently(node: &TestNode, name: &str, path: &str) -> Vec<u16> {
     let calls = (0..CALLS).map(|at| {
         let id = format!("{name}-{at}");
         async move { call(node.callers, &id, path).await.status.as_u16() }
@@ -78,9 +79,9 @@
     join_all(calls).await
 }
 
-fn silence(proxies: &[SilencingProxy]) {
+fn silence_connections(proxies: &[SilencingProxy]) {
     for proxy in proxies {
-        assert!(proxy.opened() > 0, "connections to all back ends are kept");
+        assert!(proxy.opened() > 0, "connections to all back ends are open");
         proxy.silence();
     }
 }
@@ -88,8 +89,8 @@
 #[tokio::test]
 async fn a_repeatable_call_over_silenced_connections_is_answered_within_its_objective() {
     let (_backends, proxies, node) = start(APPLICATIONS).await;
-    call_often(&node, "before", "/calls/path").await;
-    silence(&proxies);
+    call_concurrently(&node, "before", "/calls/path").await;
+    silence_connections(&proxies);
     let began = Instant::now();
     let answer = call(node.callers, "amid", "/calls/path").await;
     println!("{} after {:?}", answer.status, began.elapsed());
@@ -100,34 +101,33 @@
 #[tokio::test]
 async fn calls_made_together_over_silenced_connections_are_all_answered() {
     let (_backends, proxies, node) = start(APPLICATIONS).await;
-    call_often(&node, "before", "/calls/path").await;
-    silence(&proxies);
+    call_concurrently(&node, "before", "/calls/path").await;
+    silence_connections(&proxies);
     let began = Instant::now();
-    let statuses = call_often(&node, "amid", "/calls/path").await;
+    let statuses = call_concurrently(&node, "amid", "/calls/path").await;
     println!("{statuses:?} after {:?}", began.elapsed());
     assert_eq!(statuses, [200; CALLS]);
     assert!(began.elapsed() < OBJECTIVE, "{:?}", began.elapsed());
 }
 
-/// One that may run once only is never sent again; those that follow it to the same back end are not
-/// lost too.
+/// A call that must not run twice is never sent again, so it is lost; later calls to the same back end are not.
 #[tokio::test]
 async fn calls_that_run_once_are_lost_only_until_the_silence_is_noticed() {
     let (backends, proxies, node) = start(APPLICATIONS).await;
-    call_often(&node, "before", "/once/path").await;
-    silence(&proxies);
+    call_concurrently(&node, "before", "/once/path").await;
+    silence_connections(&proxies);
     let lost = async {
-        // The second one goes to the other back end, which has less to do.
+        // The second call goes to the other back end, which has less load.
         let first = call(node.callers, "amid-0", "/once/path");
         let second = call(node.callers, "amid-1", "/once/path");
         let (first, second) = tokio::join!(first, second);
         [first.status.as_u16(), second.status.as_u16()]
     };
     let later = async {
-        // A call of this route has three seconds; half of them at most are waited for a sign.
+        // The timeout of this route is 3 s; the node waits for data from a connection for at most half of it.
         tokio::time::sleep(2 * OBJECTIVE).await;
         let began = Instant::now();
-        let statuses = call_often(&node, "later", "/once/path").await;
+        let statuses = call_concurrently(&node, "later", "/once/path").await;
         (statuses, began.elapsed())
     };
     let (lost, (statuses, took)) = tokio::join!(lost, later);
@@ -139,7 +139,7 @@
     assert!(took < OBJECTIVE, "{took:?}");
 }
 
-/// Runs a batch, so that connections to back ends are kept.
+/// Runs a batch, so that idle keep-alive connections to the back ends exist.
 async fn run_batch(node: &TestNode, batch: &str) {
     let items: Vec<(String, String)> = (0..CALLS)
         .map(|at| (format!("{batch}-{at}"), format!("group-{at}")))
@@ -156,33 +156,33 @@
 }
 
 /// Runs a batch over connections that have fallen silent.
-async fn run_batch_amid_silence(backends: usize) {
-    let (_backends, proxies, node) = start_with(backends, ENGINES).await;
+async fn run_batch_over_silent_connections(backends: usize) {
+    let (_backends, proxies, node) = start_with_count(backends, ENGINES).await;
     run_batch(&node, "before").await;
-    silence(&proxies);
+    silence_connections(&proxies);
     let began = Instant::now();
     run_batch(&node, "amid").await;
     println!("items ended after {:?}", began.elapsed());
     assert!(began.elapsed() < 3 * OBJECTIVE / 2, "{:?}", began.elapsed());
 }
 
-/// Items wait for the head of an answer; each try over a silent connection cost its whole time-out.
+/// A run of an item waits for the head of the answer; each attempt over a silent connection took the whole timeout.
 #[tokio::test]
 async fn items_sent_over_silenced_connections_start_soon_elsewhere() {
-    run_batch_amid_silence(BACKENDS).await;
+    run_batch_over_silent_connections(BACKENDS).await;
 }
 
-/// Silent connections are no fault of a back end that answers over new ones: where each of them counted
-/// as a failed run, the back end was left alone for 2 s, and with it a pool that has no other.
+/// Silent connections are no fault of a back end that answers over new ones. When each of them counted as a failed
+/// run, the back end got no items for 2 s, which stopped a pool that has no other back end.
 #[tokio::test]
 async fn items_sent_over_silenced_connections_start_soon_at_the_only_back_end() {
-    run_batch_amid_silence(1).await;
+    run_batch_over_silent_connections(1).await;
 }
 
-/// A stream that can go on elsewhere need not wait for its deadline before it has begun either: it was sent over a
-/// silent connection once, and nobody sent it again.
+/// A resumable stream that has not begun must not wait for its deadline: it was sent over a silent connection once
+/// and never sent again.
 #[tokio::test]
-async fn a_resumable_stream_that_fell_into_silence_begins_elsewhere() {
+async fn a_resumable_stream_sent_over_a_silent_connection_begins_elsewhere() {
     let (_backends, proxies, node) = start(ENGINES).await;
     let callers = node.callers;
     let stream = |id: String| async move {
@@ -191,7 +191,7 @@
         answer.await.unwrap()
     };
     join_all((0..CALLS).map(|at| stream(format!("before-{at}")))).await;
-    silence(&proxies);
+    silence_connections(&proxies);
     let began = Instant::now();
     let answers = join_all((0..CALLS).map(|at| stream(format!("amid-{at}")))).await;
     let statuses: Vec<u16> = answers
@@ -204,9 +204,10 @@
     assert!(began.elapsed() < 2 * OBJECTIVE, "{:?}", began.elapsed());
 }
 
-/// The kept connections of the other back end fell silent with the one that the stream came over.
+/// The connections to the other back end become silent together with the one that carries the stream, so the stream
+/// must continue over a new connection.
 #[tokio::test]
-async fn a_stream_that_fell_silent_midway_goes_on_over_a_new_connection() {
+async fn a_stream_that_becomes_silent_midway_continues_over_a_new_connection() {
     const EVENT_PAUSE: Duration = Duration::from_millis(200);
     let (backends, proxies, node) = start(ENGINES).await;
     let callers = node.callers;
@@ -217,18 +218,18 @@
     };
     join_all((0..CALLS).map(|at| stream(format!("before-{at}")))).await;
     for backend in &backends {
-        backend.behave(|told| told.event_pause = EVENT_PAUSE);
+        backend.behave(|behaviour| behaviour.event_pause = EVENT_PAUSE);
     }
     let began = Instant::now();
     let silencing = async {
-        // The first event has come, the second has not.
+        // The first event has arrived, the second has not.
         tokio::time::sleep(3 * EVENT_PAUSE / 2).await;
-        silence(&proxies);
+        silence_connections(&proxies);
     };
     let (answer, ()) = tokio::join!(stream("amid".to_owned()), silencing);
     println!("stream ended after {:?}", began.elapsed());
     assert!(text(&answer).contains("path.4"), "{}", text(&answer));
-    // One second of silence and the events; over a silent connection once more it is a second longer.
-    let most = 4 * EVENT_PAUSE + 3 * OBJECTIVE / 2;
-    assert!(began.elapsed() < most, "{:?}", began.elapsed());
+    // One second of silence and the events; a second attempt over a silent connection would take a second more.
+    let max_duration = 4 * EVENT_PAUSE + 3 * OBJECTIVE / 2;
+    assert!(began.elapsed() < max_duration, "{:?}", began.elapsed());
 }
--- a/crates/gateway/tests/support/deployment.rs
+++ b/crates/gateway/tests/support/deployment.rs
@@ -1,4 +1,4 @@
-//! Nodes on loopback around one log.
+//! Gateway nodes on loopback that share one in-memory log.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -28,7 +28,7 @@
 pub const ENGINES: &str = "engines";
 pub const APPLICATIONS: &str = "applications";
 
-/// A node under test.
+/// A node under test, on a runtime with one worker thread of its own.
 pub struct TestNode {
     running: Option<RunningNode>,
     runtime: Option<Runtime>,
@@ -50,7 +50,7 @@
         Self::start_with_operations(log, settings, None).await
     }
 
-    /// Starts a node beside an interface for operations.
+    /// Starts a node with the given operations API, if any.
     pub async fn start_with_operations(
         log: Arc<NodeLog>,
         settings: Settings,
@@ -84,32 +84,32 @@
         &self.context
     }
 
-    /// Ends the node at once with all its connections, as a kill of its process does.
+    /// Ends the node and all its connections abruptly, as killing its process does.
     pub fn kill(&mut self) {
         if let Some(runtime) = self.runtime.take() {
             runtime.shutdown_background();
         }
     }
 
-    /// Keeps the node's only processor busy for so long, from before this returns.
+    /// Blocks the node's only thread for this time; it is already blocked when this returns.
     pub async fn block_thread(&self, time: Duration) {
-        let (begins, begun) = tokio::sync::oneshot::channel();
+        let (started_sender, started) = tokio::sync::oneshot::channel();
         let runtime = self.runtime.as_ref().expect("the node runs");
         runtime.spawn(async move {
-            begins.send(()).unwrap();
+            started_sender.send(()).unwrap();
             std::thread::sleep(time);
         });
-        begun.await.unwrap();
+        started.await.unwrap();
     }
 
-    /// The node's machine was suspended for so long, by the time this returns: its steady clock shows nothing
-    /// of it.
+    /// Simulates that the node's machine was suspended for this time; when this returns the suspension is over. The
+    /// monotonic clock does not advance by it.
     pub async fn suspend(&self, time: Duration) {
         self.run_on_node_thread(move || suspend_this_thread(time))
             .await;
     }
 
-    /// Does something on the one thread on which the node's tasks run.
+    /// Runs a closure on the one thread on which the node's tasks run.
     pub async fn run_on_node_thread<T: Send + 'static>(
         &self,
         work: impl FnOnce() -> T + Send + 'static,
@@ -118,17 +118,17 @@
         runtime.spawn(async move { work() }).await.unwrap()
     }
 
-    /// Stops the node in order.
+    /// Stops the node gracefully.
     pub async fn stop(mut self) {
         if let (Some(running), Some(runtime)) = (self.running.take(), &self.runtime) {
             runtime.spawn(running.stop()).await.unwrap();
         }
     }
 
-    /// Processor time that the one thread on which the node's tasks run has used.
-    pub async fn processor_time(&self) -> Duration {
+    /// CPU time that the one thread on which the node's tasks run has used.
+    pub async fn cpu_time(&self) -> Duration {
         let runtime = self.runtime.as_ref().unwrap();
-        // A task of the runtime runs on that thread, and reads what the kernel counts for it.
+        // A task of the runtime runs on that thread, so it reads the kernel's counters of that thread.
         runtime.spawn(async { thread_time() }).await.unwrap()
     }
 
@@ -136,7 +136,7 @@
         self.log.set_faults(faults);
     }
 
-    /// Waits until the node knows where so many machines can be reached.
+    /// Waits until the node knows the addresses of this many machines.
     pub async fn wait_until_addresses_known(&self, machines: usize) {
         wait_until("the node knows the others' addresses", || {
             let control = self.context().control.lock();
@@ -145,9 +145,9 @@
         .await;
     }
 
-    /// Waits until the node knows the routes and so many back ends.
+    /// Waits until the node knows the routes and this many back ends.
     pub async fn wait_until_known(&self, backends: usize) {
-        wait_until("the node knows its surroundings", || {
+        wait_until("the node knows its routes and back ends", || {
             let context = self.context();
             context.routes().is_some() && context.backends.lock().list.len() == backends
         })
@@ -161,13 +161,13 @@
     }
 }
 
-/// Length of a tick in which the kernel counts processor time: USER_HZ is 100 on Linux.
+/// Unit in which the kernel counts CPU time: USER_HZ is 100 on Linux.
 const TICK: Duration = Duration::from_millis(10);
-/// Place of the ticks in user mode among the fields after the thread's name; those in kernel mode
-/// are next. See proc(5), /proc/pid/stat.
+/// Index of the ticks in user mode among the fields after the thread's name; those in kernel mode come next. See
+/// proc(5), /proc/pid/stat.
 const USER_TICKS: usize = 11;
 
-/// Processor time that this thread has used.
+/// CPU time that this thread has used.
 fn thread_time() -> Duration {
     let stat = std::fs::read_to_string("/proc/thread-self/stat").unwrap();
     let (_, after_name) = stat.rsplit_once(')').unwrap();
@@ -176,14 +176,15 @@
     TICK * ticks
 }
 
-pub async fn wait_until(what: &str, is_so: impl Fn() -> bool) {
+/// Waits up to 20 s for a condition, and panics with `what` if it does not become true.
+pub async fn wait_until(what: &str, is_true: impl Fn() -> bool) {
     for _ in 0..2_000 {
-        if is_so() {
+        if is_true() {
             return;
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    panic!("waited in vain: {what}");
+    panic!("timed out: {what}");
 }
 
 pub fn settings(name: &str) -> Settings {
@@ -241,8 +242,8 @@
     }
 }
 
-/// A route whose calls may be held for an hour.
-fn patient_route() -> Route {
+/// A route with a timeout of one hour.
+fn long_timeout_route() -> Route {
     let route = route(
         "patient",
         "/patient/",
@@ -279,7 +280,7 @@
             route("calls", "/calls/", RequestKind::Repeatable, APPLICATIONS),
             route("once", "/once/", RequestKind::AtMostOnce, APPLICATIONS),
             route("batches", "/batches/", RequestKind::Batch, ENGINES),
-            patient_route(),
+            long_timeout_route(),
             single_version_route(),
             route(
                 "streams",
@@ -311,7 +312,7 @@
     entry(backend, record)
 }
 
-/// What a back end that is ready and warm says of itself.
+/// The record of a back end that is ready and warm.
 pub fn record(backend: &StandInBackend, pool: &str) -> BackendRecord {
     BackendRecord {
         pool: PoolName::from(pool),
@@ -325,7 +326,7 @@
     }
 }
 
-/// The entry with which a back end says something of itself.
+/// The directory entry that a back end writes with a record.
 pub fn entry(backend: &StandInBackend, record: BackendRecord) -> DirectoryEntry {
     let name = BackendName::from(backend.id.as_str());
     DirectoryEntry::Backend(BackendChange {
@@ -334,7 +335,7 @@
     })
 }
 
-/// A log with routes, back ends of both pools, and no node yet.
+/// A log with routes and back ends of both pools; nodes are added by the tests.
 pub struct Deployment {
     pub log: Arc<MemoryLog>,
     pub engines: Vec<Arc<StandInBackend>>,
@@ -372,7 +373,7 @@
             .await
     }
 
-    /// A node, once it knows so many back ends.
+    /// Starts a node and waits until it knows this many back ends.
     pub async fn node_with_known_backends(&self, name: &str, backends: usize) -> TestNode {
         let node = TestNode::start(&self.log, name).await;
         node.wait_until_known(backends).await;
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for the surroundings of a node, and a small deployment on loopback.
+//! Test doubles for the services that a node depends on, and a small deployment on loopback.
 #![allow(dead_code)]
 
 pub mod backend;
--- a/crates/gateway/tests/troubles.rs
+++ b/crates/gateway/tests/troubles.rs
@@ -1,5 +1,5 @@
-//! Troubles that concern all nodes at once, or the meaning of what they know: stops in turn, reused
-//! addresses, dropped history.
+//! Failures that affect all nodes or invalidate what they know: rolling restarts, reused addresses, records that the
+//! log has dropped, and appends or reads that fail for a while.
 
 mod support;
 
@@ -20,12 +20,12 @@
 
 const ITEMS: [(&str, &str); 4] = [("i1", "g1"), ("i2", "g1"), ("i3", "g2"), ("i4", "g2")];
 
-/// Every node is stopped once while a batch runs; each is replaced before the next one stops.
+/// Every node is stopped once while a batch runs, and is replaced before the next one stops.
 #[tokio::test]
-async fn stops_of_all_nodes_in_turn_lose_nothing() {
+async fn a_rolling_restart_of_all_nodes_loses_no_results() {
     let deployment = Deployment::start(2, 1).await;
     for engine in &deployment.engines {
-        engine.behave(|told| told.event_pause = Duration::from_millis(400));
+        engine.behave(|behaviour| behaviour.event_pause = Duration::from_millis(400));
     }
     let mut nodes = vec![deployment.node("a").await, deployment.node("b").await];
     let body = write_batch(1, &ITEMS, false);
@@ -35,7 +35,7 @@
         let leaving = nodes.remove(0);
         let address = leaving.callers;
         let answer = tokio::spawn(async move { call(address, "amid-stop", "/calls/c").await });
-        wait_until("the call has come", || {
+        wait_until("the call has arrived", || {
             let seen = deployment.applications[0].seen();
             seen.iter()
                 .any(|seen| seen.header("x-id") == Some("amid-stop"))
@@ -52,14 +52,14 @@
     );
 }
 
-/// A back end is gone and its address serves another pool. Nodes that have not heard of it yet send
-/// their items there, but name the one they mean, so that they don't run.
+/// A back end is gone and another pool now uses its address. Nodes that do not know this yet send their items there,
+/// but each request names the intended back end, so that the items do not run.
 #[tokio::test]
-async fn a_reused_address_runs_nothing_meant_for_its_former_holder() {
+async fn a_reused_address_runs_no_items_meant_for_its_previous_back_end() {
     let deployment = Deployment::start(2, 1).await;
     let node = deployment.node("a").await;
     let application = deployment.applications[0].clone();
-    // The engine is said to be where the application is.
+    // Lists the engine at the address of the application.
     let DirectoryEntry::Backend(BackendChange { record, .. }) =
         listed(&application, ENGINES, false)
     else {
@@ -83,10 +83,10 @@
     assert_eq!(answer.status, 200, "{APPLICATIONS} still serve");
 }
 
-/// A node was away while records that it has not read were dropped. It goes on with the first record
-/// that is kept, and serves what was handed in since.
+/// While a node cannot reach the log, the log drops records that the node has not read. The node continues with the
+/// first record that is kept, and serves the batches that were submitted since.
 #[tokio::test]
-async fn a_reader_that_fell_behind_dropped_history_goes_on() {
+async fn a_node_whose_unread_records_were_dropped_continues() {
     let deployment = Deployment::start(2, 1).await;
     let (first, second) = (deployment.node("a").await, deployment.node("b").await);
     let body = write_batch(1, &ITEMS, false);
@@ -107,12 +107,12 @@
     assert_eq!(results(first.callers, "old", 0).await.1.len(), ITEMS.len());
 }
 
-/// A node has read the beginning of a batch when the records of its first result are dropped. What it reads
-/// then cannot be put at its right position, so it lists none of it: another node has listed the first result
-/// at position 0, and positions never change. It doesn't say either that there is no such batch, as it can't
-/// know: it refuses the call, so that the reader asks another node.
+/// A node has read the beginning of a batch when the record of its first result is dropped. The node cannot know the
+/// position of the results that it reads then, so it lists none of them: another node has listed the first result at
+/// position 0, and positions never change. It does not answer that the batch is unknown either, as it cannot tell:
+/// it refuses the call, so that the reader asks another node.
 #[tokio::test]
-async fn a_node_that_missed_a_result_lists_none_in_its_place() {
+async fn a_node_that_missed_a_result_lists_no_later_ones() {
     let deployment = Deployment::start(0, 0).await;
     let node = deployment.node("a").await;
     let partition = node.context().partition_of(&"batch".into()).id;
@@ -130,7 +130,7 @@
     })
     .await;
     assert_eq!(results(node.callers, "batch", 0).await, (200, Vec::new()));
-    // Longer than a node follows what somebody asked about.
+    // Longer than a node follows a partition after a question about one of its batches.
     tokio::time::sleep(Duration::from_millis(2_000)).await;
     write(given_up("i1")).await;
     deployment.log.drop_history(partition);
@@ -151,10 +151,10 @@
     }
 }
 
-/// Items end while the log takes no records. Once it does again, what was made is written down and
-/// listed, and nothing is made a second time.
+/// Items end while the log refuses appends. Once it accepts them again, the results are appended and listed, and no
+/// item runs a second time.
 #[tokio::test]
-async fn items_that_ended_while_nothing_could_be_written_run_once() {
+async fn items_that_end_while_the_log_refuses_appends_run_once() {
     let deployment = Deployment::start(2, 1).await;
     let node = deployment.node("a").await;
     let body = write_batch(1, &ITEMS, false);
@@ -164,7 +164,7 @@
         ..LogFaults::default()
     });
     wait_until("all items ran", || runs(&deployment) >= ITEMS.len()).await;
-    // Longer than an end that was written down may take to be seen.
+    // Longer than a node may take to see an appended end.
     tokio::time::sleep(Duration::from_millis(5_000)).await;
     node.set_faults(LogFaults {
         read_delay: Duration::from_millis(150),
@@ -178,14 +178,14 @@
     assert_eq!(runs(&deployment), ITEMS.len());
 }
 
-/// An owner learns of the end of its batch late, as answers of the log take long. It may not send
-/// items once the end is in force.
+/// An owner learns of the end of its batch late, as the log answers slowly. It must not send items once the end is in
+/// force.
 #[tokio::test]
-async fn an_owner_whose_knowledge_is_old_sends_no_items() {
+async fn an_owner_with_outdated_knowledge_sends_no_items() {
     const MANY_ITEMS: usize = 60;
     let deployment = Deployment::start(1, 1).await;
     let (owner, other) = (deployment.node("a").await, deployment.node("b").await);
-    deployment.engines[0].behave(|told| told.event_pause = Duration::from_millis(400));
+    deployment.engines[0].behave(|behaviour| behaviour.event_pause = Duration::from_millis(400));
     let names: Vec<String> = (0..MANY_ITEMS).map(|at| format!("i{at}")).collect();
     let items: Vec<(&str, &str)> = names.iter().map(|name| (name.as_str(), "g")).collect();
     let body = write_batch(1, &items, false);
@@ -210,7 +210,7 @@
     assert_eq!(runs(&deployment), before);
 }
 
-/// Items sent to engines, again or not.
+/// Runs of items on engines, including repeated ones.
 fn runs(deployment: &Deployment) -> usize {
     let engines = deployment.engines.iter();
     engines.flat_map(|engine| engine.runs().into_values()).sum()
--- a/crates/gateway/tests/work_pace.rs
+++ b/crates/gateway/tests/work_pace.rs
@@ -1,4 +1,4 @@
-//! Repeated work rests by what it took.
+//! Repeated work rests for a multiple of the time that it took.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use tokio::time::advance;
 
 #[tokio::test(start_paused = true)]
-async fn work_rests_by_what_it_took() {
+async fn work_rests_for_a_multiple_of_its_duration() {
     let mut pace = WorkPace::new(2);
     assert!(pace.is_due());
     let began = Instant::now();
@@ -27,9 +27,9 @@
     assert!(pace.is_due());
 }
 
-/// A machine that stood still for 20 s in the midst of the work works on soon, not 40 s later.
+/// A machine that is suspended for 20 s during the work continues within a second, not 40 s later.
 #[tokio::test(start_paused = true)]
-async fn time_in_which_the_machine_stood_still_is_not_rested_for() {
+async fn the_rest_after_a_suspension_is_bounded() {
     let mut pace = WorkPace::new(2);
     let began = Instant::now();
     advance(Duration::from_secs(20)).await;
