--- a/crates/gateway/src/call_progress.rs
+++ b/crates/gateway/src/call_progress.rs
@@ -66,6 +66,8 @@
     /// Regions in which the call may be served.
     residency: Residency,
     started_at: Instant,
+    /// The earliest of the caller's deadline, the route's timeout and, while the process stops, the time by which it
+    /// must answer.
     deadline: Instant,
     /// Time at which the second send is due, or the next search for a back end that can take it.
     hedge_at: Instant,
--- a/crates/gateway/tests/calls_during_stop.rs
+++ b/crates/gateway/tests/calls_during_stop.rs
@@ -3,7 +3,8 @@
 //! The failure: a node is stopping and has work until shortly before it exits. A call arrives on a new connection
 //! while the pool's back ends are down, and waits for one of them for longer than the process lives. If the call's
 //! time is bounded only by its deadline and its route, and not by the time until the process exits, then the
-//! connection closes without an answer (0.77 s after the request was read) and no back end receives the call.
+//! connection closes without an answer (0.77 s after the request was read) and no back end receives the call. In the
+//! observed failure, the process exited 7.4 s after the start of the stop and logged nothing about the request.
 
 mod support;
 
