--- a/crates/gateway/src/calls.rs
+++ b/crates/gateway/src/calls.rs
@@ -33,7 +33,7 @@
 /// A call whose head and body were read whole.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// Request id given by the caller. Back ends repeat it in their answers.
+    /// Request id. Back ends repeat it in their answers, which shows that an answer belongs to this call.
     pub id: HeaderValue,
     /// HTTP method, forwarded unchanged.
     pub method: Method,
@@ -91,8 +91,7 @@
         /// HTTP status for the caller: 502 after failed sends, 504 after the deadline.
         status: StatusCode,
     },
-    /// The call crashes the back ends that run it, so it is not sent any more. An earlier send of it may have
-    /// run, so this outcome does not mean that the call has not run.
+    /// Back ends crash while they run the call, so it is not sent any more. An earlier send of it may have run, so this outcome does not mean that the call has not run.
     Barred,
 }
 
