--- a/crates/gateway/src/crash_evidence.rs
+++ b/crates/gateway/src/crash_evidence.rs
@@ -1,9 +1,10 @@
-//! Finds out whether a back end ended under a request.
+//! Detects whether a back end ended while it ran a request.
 //!
-//! A send that breaks off says little: connections are reset, back ends leave. So a new connection to the back
-//! end's address is tried. It has ended if nobody listens there, also if that is so only a moment later, or if
-//! another life of it is listed there soon after; not if it had said that it leaves. The search goes on when
-//! the caller is gone: callers that leave would take each end along that their request causes.
+//! A broken connection alone is no evidence: connections are reset, and back ends leave in order. So the node opens a
+//! new connection to the back end's address. The back end has ended if nobody listens there, at once or a moment later,
+//! or if another incarnation is listed at the address soon after. An end does not count if the back end had announced
+//! that it leaves. The detection runs on after the caller has disconnected; otherwise the ends that a request causes
+//! would go unnoticed whenever its caller leaves early.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -21,43 +22,44 @@
 use crate::crash_guard::{self, SuspectSlot};
 use crate::metrics;
 
-/// Longest time to try a back end's address: some ten round trips between zones. A machine that does not
-/// answer in this time may be cut off, which says nothing of the back end.
+/// Timeout for a connection to a back end's address: some ten round trips between zones. A machine that does not answer
+/// within it may be cut off by the network, which says nothing about the back end.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
-/// Time for which a request that broke off waits while the address still takes connections: a process that ends does
-/// not close everything at the same moment. With it three back ends ended under one request where the address was
-/// open for 5 ms more.
-const CLOSING_TIME: Duration = Duration::from_millis(10);
-/// Time for which the address is watched after a send broke off, while the request goes on.
-const BROKEN_TIME: Duration = Duration::from_millis(60);
-/// Time for which the address is watched after a send was given up: longer than it took from the start of a
-/// harmful run to its end (40 to 170 ms in a recorded incident).
-const GIVEN_UP_TIME: Duration = Duration::from_millis(300);
-/// Time after which it is known what came of a send that was given up.
-pub(crate) const OUTCOME_KNOWN_AFTER: Duration = GIVEN_UP_TIME.saturating_add(PROBE_TIMEOUT);
-/// Most connections tried for one send. One that closes while the address is still open shows nothing: the process
-/// may be ending, or takes no more connections.
-const MOST_PROBES: usize = 3;
-/// Time after which another life at the address shows that the former one ended with the send. A back end that
-/// says that it leaves serves for longer than this.
-const NEXT_LIFE_AFTER: Duration = Duration::from_millis(1_500);
-/// Most sends given up whose back ends are watched at a time: each holds a connection, and when callers leave
-/// because back ends are overloaded these would add to it.
-const MOST_WATCHED: usize = 8;
-
-/// Dropped when a request may be sent on.
-type GoOn = oneshot::Sender<Infallible>;
-
-/// Sends that were given up and whose back ends are watched.
+/// Time for which a broken request waits to see whether a new connection to the back end is closed: a process that ends
+/// does not close all its sockets at the same moment, and its address may accept connections for some 5 ms more. With
+/// this wait, such a request ends no more than the three back ends after which it is barred.
+const PROBE_CLOSE_WAIT: Duration = Duration::from_millis(10);
+/// Time for which the address is watched after a send broke, while the request is already sent elsewhere.
+const BROKEN_SEND_WATCH: Duration = Duration::from_millis(60);
+/// Time for which the address is watched after a send was given up. It is longer than a harmful request takes from the
+/// start of its run to the end of the back end (40 to 170 ms in a recorded incident).
+const GIVEN_UP_SEND_WATCH: Duration = Duration::from_millis(300);
+/// Time after which it is known whether the back end of a send that was given up has ended.
+pub(crate) const OUTCOME_KNOWN_AFTER: Duration = GIVEN_UP_SEND_WATCH.saturating_add(PROBE_TIMEOUT);
+/// Maximum number of connections opened to check one send. A connection that closes while the address still accepts
+/// others shows nothing: the process may be ending, or it may be at its limit of connections.
+const MAX_PROBES: usize = 3;
+/// Delay of the check for another incarnation at the address. If one is listed by then, the former one ended with the
+/// send: a back end that announces that it leaves serves for longer than this.
+const ADDRESS_REUSE_CHECK_DELAY: Duration = Duration::from_millis(1_500);
+/// Maximum number of given-up sends whose back ends are watched at a time: each holds a connection, and when callers
+/// leave because back ends are overloaded, more connections would add to the overload.
+const MAX_WATCHED_SENDS: usize = 8;
+
+/// Signals, by being dropped, that a request may be sent to another back end.
+type RetrySignal = oneshot::Sender<Infallible>;
+
+/// Number of sends that were given up and whose back ends are watched.
 #[derive(Default)]
 pub(crate) struct WatchedSends(AtomicUsize);
 
 impl WatchedSends {
+    /// Counts one more send; false if the maximum is reached.
     fn begin(&self) -> bool {
-        let begun = |count| (count < MOST_WATCHED).then_some(count + 1);
+        let increment = |count| (count < MAX_WATCHED_SENDS).then_some(count + 1);
         let updated = self
             .0
-            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, begun);
+            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, increment);
         updated.is_ok()
     }
 
@@ -66,33 +68,39 @@
     }
 }
 
-/// A send that got no whole answer.
+/// A send that got no complete answer.
 pub(crate) struct UnansweredSend {
-    /// What was sent.
+    /// Fingerprint of the request that was sent.
     pub(crate) request: Fingerprint,
     /// Id of this try.
     pub(crate) id: String,
-    /// Where it was sent.
+    /// Back end that it was sent to.
     pub(crate) backend: BackendId,
-    /// Connections to there.
+    /// Connections to the back end.
     pub(crate) link: Link,
-    /// Held until it is known whether the back end ended, so that no other copy is sent in its place: one more back
-    /// end ended under a request whose callers leave without this.
+    /// Slot of a suspected request. It is held until it is known whether the back end ended, so that no other copy of
+    /// the request is sent in its place: without that, one more back end ends under a request whose callers leave.
     pub(crate) slot: Option<SuspectSlot>,
 }
 
-/// A send broke off after it was written. Returns once it is known whether its back end ended, or after a moment
-/// in which that does not show, so that the request is not sent on before.
+/// Checks the back end of a send that broke after the request was written. Returns once it is known whether the back
+/// end ended, or after a short wait without evidence, so that the request is not sent to another back end before.
 pub(crate) async fn check_broken_send(context: &Arc<Context>, send: UnansweredSend) {
-    let (go_on, may_go_on) = oneshot::channel();
-    tokio::spawn(search(context.clone(), send, BROKEN_TIME, Some(go_on)));
-    // Nothing is ever sent there: it ends when the other half is dropped.
-    let _ = may_go_on.await;
+    let (retry_signal, may_retry) = oneshot::channel();
+    tokio::spawn(detect_end(
+        context.clone(),
+        send,
+        BROKEN_SEND_WATCH,
+        Some(retry_signal),
+    ));
+    // No value is ever sent: the receiver completes when the sender is dropped.
+    let _ = may_retry.await;
 }
 
-/// A send was given up: its caller left, or its time ran out.
+/// Watches in the background whether the back end of a send ends that was given up because its caller left or its time
+/// ran out.
 pub(crate) fn watch_given_up_send(context: &Arc<Context>, send: UnansweredSend) {
-    // Without a runtime the process ends.
+    // There is no runtime only while the process shuts down.
     let Ok(runtime) = tokio::runtime::Handle::try_current() else {
         return;
     };
@@ -102,60 +110,65 @@
     }
     let context = context.clone();
     runtime.spawn(async move {
-        search(context.clone(), send, GIVEN_UP_TIME, None).await;
+        detect_end(context.clone(), send, GIVEN_UP_SEND_WATCH, None).await;
         context.watched_sends.end();
     });
 }
 
-/// Notes and tells it if the back end has ended, or ends within a time. Drops `go_on` when the request may be sent on.
-async fn search(
+/// Records and reports the end of a send's back end if the back end has ended, or ends within `watch_time`. Drops
+/// `retry_signal` when the request may be sent to another back end.
+async fn detect_end(
     context: Arc<Context>,
     mut send: UnansweredSend,
-    time: Duration,
-    mut go_on: Option<GoOn>,
+    watch_time: Duration,
+    mut retry_signal: Option<RetrySignal>,
 ) {
     if is_leaving(&context, &send.backend) {
         report(&context, &send, "was_leaving");
         return;
     }
     if has_crashed(&context, &send.backend) {
-        ended(&context, &send, "next_life").await;
+        record_end(&context, &send, "next_life").await;
         return;
     }
-    let has_ended = stops_listening(&send.link, time, &mut go_on).await;
-    // It may have said so meanwhile.
+    let has_ended = stops_listening(&send.link, watch_time, &mut retry_signal).await;
+    // The back end may have announced its leave while its address was watched.
     if is_leaving(&context, &send.backend) {
         report(&context, &send, "was_leaving");
         return;
     }
     if has_ended {
-        ended(&context, &send, "nobody_listens").await;
+        record_end(&context, &send, "nobody_listens").await;
         return;
     }
-    drop(go_on);
+    drop(retry_signal);
     report(&context, &send, "may_live");
     drop(send.slot.take());
     tokio::spawn(async move {
-        tokio::time::sleep(NEXT_LIFE_AFTER).await;
-        if is_taken_over(&context, send.link.address(), &send.backend) {
-            ended(&context, &send, "next_life").await;
+        tokio::time::sleep(ADDRESS_REUSE_CHECK_DELAY).await;
+        if is_address_reused(&context, send.link.address(), &send.backend) {
+            record_end(&context, &send, "next_life").await;
         }
     });
 }
 
-/// Whether nobody listens at an address, now or within a time.
-async fn stops_listening(link: &Link, time: Duration, go_on: &mut Option<GoOn>) -> bool {
-    for _ in 0..MOST_PROBES {
+/// Whether nobody listens at an address, now or within `watch_time`.
+async fn stops_listening(
+    link: &Link,
+    watch_time: Duration,
+    retry_signal: &mut Option<RetrySignal>,
+) -> bool {
+    for _ in 0..MAX_PROBES {
         match link.probe(PROBE_TIMEOUT).await {
             Probe::Refused => return true,
             Probe::Unknown => return false,
             Probe::Reset => {}
             Probe::Open(mut probe) => {
-                if probe.closes_within(CLOSING_TIME).await {
+                if probe.closes_within(PROBE_CLOSE_WAIT).await {
                     continue;
                 }
-                drop(go_on.take());
-                if !probe.closes_within(time).await {
+                drop(retry_signal.take());
+                if !probe.closes_within(watch_time).await {
                     return false;
                 }
             }
@@ -164,7 +177,7 @@
     false
 }
 
-/// Whether a back end said that it leaves, or is not listed any more: its end is expected.
+/// Whether a back end announced that it leaves, or is no longer listed, so that its end is expected.
 fn is_leaving(context: &Context, backend: &BackendId) -> bool {
     let backends = context.backends.lock();
     let record = backends.list.get(backend);
@@ -172,12 +185,13 @@
     !has_crashed && record.is_none_or(|record| record.draining)
 }
 
-/// Whether a back end ended without a word, as its next life is listed under its name.
+/// Whether a back end ended without announcing it: its next incarnation is listed under its name.
 fn has_crashed(context: &Context, backend: &BackendId) -> bool {
     context.backends.lock().list.has_crashed(backend)
 }
 
-fn is_taken_over(context: &Context, address: SocketAddr, former: &BackendId) -> bool {
+/// Whether another back end, or another incarnation of this one, is listed at its address.
+fn is_address_reused(context: &Context, address: SocketAddr, former: &BackendId) -> bool {
     context
         .backends
         .lock()
@@ -185,7 +199,7 @@
         .is_address_reused(address, former)
 }
 
-async fn ended(context: &Arc<Context>, send: &UnansweredSend, evidence: &'static str) {
+async fn record_end(context: &Arc<Context>, send: &UnansweredSend, evidence: &'static str) {
     crash_guard::record_backend_end(context, send.request, &send.backend).await;
     report(context, send, evidence);
 }
--- a/crates/gateway/src/crash_guard.rs
+++ b/crates/gateway/src/crash_guard.rs
@@ -1,5 +1,8 @@
-//! Keeps requests that end back ends from being sent on and on, by any node. An end under a request is noted here at
-//! once and told to all nodes through the control stream; [`crash_evidence`](crate::crash_evidence) finds it.
+//! Stops requests that crash back ends from being sent again and again, by any node.
+//!
+//! [`crash_evidence`](crate::crash_evidence) detects that a back end ended while it ran a request. This module records
+//! the end in the node's crash ledger at once, reports it to all nodes through the control stream, and decides whether
+//! a request may be sent.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -19,63 +22,65 @@
 use crate::metrics;
 use crate::peer_notices;
 
-/// Time after the end of a back end's life by which its next one is listed: back ends start again after two seconds
-/// and write an entry at once, and each 1.2 s from then on.
-const NEXT_LIFE_LISTED_MS: Millis = 4_000;
-/// Age of the log's last answer up to which the list is taken to be read as it is written.
-const FRESH_CONTACT_MS: Millis = 1_000;
-
-/// Pause before a word for the other nodes that could not be written is written again.
-const TELL_AGAIN_PAUSE: Duration = Duration::from_millis(200);
-/// Longest time that a broken send waits for its word to be written: over ten times what an append takes.
-const TELL_PATIENCE: Duration = Duration::from_millis(50);
-/// Longest time that it waits besides for another node to hear it, where the log refuses it: two tries. The caller may
-/// ask another node as soon as it has its answer, and this one may die.
-const PEER_PATIENCE: Duration = Duration::from_millis(200);
-/// Longest time for which a request waits for the ends under it to be told: two further tries at the log.
+/// Time after the end of a back end by which its next incarnation is listed: back ends restart after two seconds, write
+/// a directory entry at once, and repeat it every 1.2 s.
+const NEXT_INCARNATION_LISTED_MS: Millis = 4_000;
+/// Maximum age of the last answer of the log or a directory at which this node's list of back ends counts as current.
+const MAX_FRESH_CONTACT_AGE_MS: Millis = 1_000;
+
+/// Pause before a record that the log did not accept is appended again.
+const APPEND_RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// Maximum time that a broken send waits until the end under it is in the log: over ten times what an append takes.
+const APPEND_WAIT_TIMEOUT: Duration = Duration::from_millis(50);
+/// Further time that a broken send waits for a peer to confirm the end if the log refused it: two tries. The caller may
+/// ask another node as soon as it has its answer, and this node may crash before the end is known elsewhere.
+const PEER_WAIT_TIMEOUT: Duration = Duration::from_millis(200);
+/// Maximum time that a request waits until the ends under it are reported: two further appends to the log.
 pub(crate) const UNREPORTED_END_TIMEOUT: Duration = Duration::from_millis(500);
-/// Most words that wait to be written while the log is away; each holds some 100 bytes.
-const MOST_WAITING: usize = 256;
-/// Ends under a request that no other node knows of, from which on it is not sent here: they are forgotten if this
-/// node dies, and with one more the others would begin anew after as many ends as bar a request. One alone is no
-/// reason to keep a request back, else each crash while the log is away would cost its callers their answers.
-const MOST_UNTOLD_ENDS: usize = 2;
-
-/// Sends of suspected requests that are under way here, and words for other nodes.
+/// Maximum number of records that wait for an append while the log is unavailable; each holds some 100 bytes.
+const MAX_WAITING_RECORDS: usize = 256;
+/// Number of unreported ends under a request from which on this node holds it back. Unreported ends are lost if this
+/// node crashes: with one end more, as many would be lost as bar a request, and the other nodes would count from zero.
+/// A single unreported end doesn't hold a request back, otherwise each crash while the log is unavailable would cost
+/// callers their answers.
+const MAX_UNREPORTED_ENDS: usize = 2;
+
+/// This node's sends of suspected requests that are in flight, and its records that other nodes do not know yet.
 #[derive(Default)]
 pub(crate) struct CrashGuard {
-    under_way: Mutex<HashMap<Fingerprint, usize>>,
-    /// Words that wait to be written.
-    waiting: AtomicUsize,
-    /// Back ends of whose ends these tell, for each request.
-    untold: Mutex<HashMap<Fingerprint, Vec<BackendId>>>,
+    /// Number of sends in flight for each suspected request.
+    in_flight: Mutex<HashMap<Fingerprint, usize>>,
+    /// Number of records that wait for an append.
+    waiting_records: AtomicUsize,
+    /// For each request, the back ends whose ends under it are reported neither to the log nor to a peer.
+    unreported: Mutex<HashMap<Fingerprint, Vec<BackendId>>>,
 }
 
 /// Whether a request may be sent to a back end now.
 pub(crate) enum Admission {
-    /// It may be. The slot of a suspected request is held until its end is known.
+    /// It may be sent. If it is suspected, the slot is held until it is known whether the back end ended.
     Send(Option<SuspectSlot>),
-    /// Not by this node, which cannot tell whether it is harmful: another one tries it.
+    /// Not by this node, which cannot tell whether the request is harmful: another node runs it as a test.
     LeftToAnother,
-    /// Not yet: as many sends of it are under way as back ends may still end under it.
+    /// Not yet: as many sends of it are in flight as back ends may still end under it.
     Wait,
-    /// Not before the ends under it that only this node knows of are told.
+    /// Not before the ends under it that only this node knows of are reported.
     EndsUnreported,
-    /// It must not be sent any more.
+    /// No: enough back ends ended under it to bar it.
     Barred,
 }
 
-/// Who else may send a request.
+/// Which nodes may send a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Sender {
-    /// Any node to which its caller turns.
+    /// Any node that its caller asks.
     Any,
-    /// Only this one, as the owner of the batch for which it is sent. It would never be sent again if the owner left
-    /// it to others.
+    /// Only this node, as the owner of the batch that the request belongs to. If the owner left the request to other
+    /// nodes, nobody would send it.
     Owner,
 }
 
-/// Counts a send of a suspected request as under way.
+/// Counts one send of a suspected request as in flight until it is dropped.
 pub(crate) struct SuspectSlot {
     context: Arc<Context>,
     request: Fingerprint,
@@ -83,74 +88,79 @@
 
 impl Drop for SuspectSlot {
     fn drop(&mut self) {
-        let mut under_way = self.context.crash_guard.lock_under_way();
-        if let Some(count) = under_way.get_mut(&self.request) {
+        let mut in_flight = self.context.crash_guard.lock_in_flight();
+        if let Some(count) = in_flight.get_mut(&self.request) {
             *count -= 1;
             if *count == 0 {
-                under_way.remove(&self.request);
+                in_flight.remove(&self.request);
             }
         }
     }
 }
 
 impl CrashGuard {
-    /// Whether any request is kept back until the ends under it are told.
+    /// Whether any request is held back until the ends under it are reported.
     pub(crate) fn has_held_back_requests(&self) -> bool {
-        let untold = self.lock_untold();
-        self.is_full() || untold.values().any(|ends| ends.len() >= MOST_UNTOLD_ENDS)
+        let unreported = self.lock_unreported();
+        self.is_full()
+            || unreported
+                .values()
+                .any(|ends| ends.len() >= MAX_UNREPORTED_ENDS)
     }
 
-    /// How many back ends may still end under a request before its ends must be told.
-    fn ends_left(&self, request: &Fingerprint) -> usize {
-        // A word that found no room is never told, and it may be one on this request.
+    /// How many back ends may still end under a request before it is held back.
+    fn unreported_ends_left(&self, request: &Fingerprint) -> usize {
+        // Records are dropped while the queue is full, and one of them may report an end under this request.
         if self.is_full() {
             return 0;
         }
-        let untold = self.lock_untold();
-        let ends = untold.get(request).map_or(0, Vec::len);
-        MOST_UNTOLD_ENDS.saturating_sub(ends)
+        let unreported = self.lock_unreported();
+        let ends = unreported.get(request).map_or(0, Vec::len);
+        MAX_UNREPORTED_ENDS.saturating_sub(ends)
     }
 
     fn is_full(&self) -> bool {
-        self.waiting.load(Ordering::Relaxed) >= MOST_WAITING
+        self.waiting_records.load(Ordering::Relaxed) >= MAX_WAITING_RECORDS
     }
 
-    fn begin_to_tell(&self, request: &Fingerprint, backend: &BackendId) {
-        let mut untold = self.lock_untold();
-        let ends = untold.entry(*request).or_default();
+    fn add_unreported_end(&self, request: &Fingerprint, backend: &BackendId) {
+        let mut unreported = self.lock_unreported();
+        let ends = unreported.entry(*request).or_default();
         if !ends.contains(backend) {
             ends.push(backend.clone());
         }
     }
 
-    fn told(&self, request: &Fingerprint, backend: &BackendId) {
-        let mut untold = self.lock_untold();
-        let Some(ends) = untold.get_mut(request) else {
+    fn remove_unreported_end(&self, request: &Fingerprint, backend: &BackendId) {
+        let mut unreported = self.lock_unreported();
+        let Some(ends) = unreported.get_mut(request) else {
             return;
         };
         ends.retain(|other| other != backend);
         if ends.is_empty() {
-            untold.remove(request);
+            unreported.remove(request);
         }
     }
 
-    fn lock_untold(&self) -> MutexGuard<'_, HashMap<Fingerprint, Vec<BackendId>>> {
-        self.untold.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_unreported(&self) -> MutexGuard<'_, HashMap<Fingerprint, Vec<BackendId>>> {
+        self.unreported
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn lock_under_way(&self) -> MutexGuard<'_, HashMap<Fingerprint, usize>> {
-        self.under_way
+    fn lock_in_flight(&self) -> MutexGuard<'_, HashMap<Fingerprint, usize>> {
+        self.in_flight
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Whether nothing is known against any request, so that none needs a look.
+/// Whether the crash ledger holds no end, so that no request needs a check.
 pub(crate) fn has_no_suspects(context: &Context) -> bool {
     context.control.lock().state.crashes().is_empty()
 }
 
-/// What is known against a request.
+/// How far a request is suspected of crashing back ends, by the ends known to this node.
 pub(crate) fn suspicion(context: &Context, request: &Fingerprint) -> Suspicion {
     let now = context.now();
     context
@@ -161,8 +171,8 @@
         .suspicion(request, now)
 }
 
-/// Whether a request may be sent now. What is under way here counts as if it failed, so that several copies
-/// of a request that come together don't end more back ends than one.
+/// Decides whether a request may be sent now. Each send that is in flight on this node counts as if it failed, so that
+/// several copies of a request that arrive together don't end more back ends than one copy would.
 pub(crate) fn admit(context: &Arc<Context>, request: &Fingerprint, sender: Sender) -> Admission {
     let runs_left = match suspicion(context, request) {
         Suspicion::None => return Admission::Send(None),
@@ -173,13 +183,13 @@
         Suspicion::Barred { .. } => return Admission::Barred,
         Suspicion::Suspected { runs_left, .. } => runs_left,
     };
-    let ends_left = context.crash_guard.ends_left(request);
+    let ends_left = context.crash_guard.unreported_ends_left(request);
     if ends_left == 0 {
         return Admission::EndsUnreported;
     }
     let runs_left = runs_left.min(ends_left);
-    let mut under_way = context.crash_guard.lock_under_way();
-    let count = under_way.entry(*request).or_default();
+    let mut in_flight = context.crash_guard.lock_in_flight();
+    let count = in_flight.entry(*request).or_default();
     if *count >= runs_left {
         return Admission::Wait;
     }
@@ -190,19 +200,20 @@
     }))
 }
 
-/// Whether a suspected request is kept back until the ends under it are told.
+/// Whether a suspected request is held back until the ends under it are reported.
 pub(crate) fn is_held_back(context: &Context, request: &Fingerprint) -> bool {
-    context.crash_guard.ends_left(request) == 0
+    context.crash_guard.unreported_ends_left(request) == 0
         && !matches!(suspicion(context, request), Suspicion::None)
 }
 
-/// A request is given up as the ends under it could not be told: says so.
+/// Logs and counts that a request is given up because the ends under it could not be reported in time. `id` is the id
+/// of this try.
 pub(crate) fn log_given_up_with_unreported_ends(
     context: &Context,
     request: &Fingerprint,
     id: &str,
 ) {
-    let waiting = context.crash_guard.waiting.load(Ordering::Relaxed);
+    let waiting = context.crash_guard.waiting_records.load(Ordering::Relaxed);
     let suspicion = suspicion(context, request);
     metrics::untold_request_given_up();
     info!(event = "request_given_up_as_its_ends_are_untold", request = id,
@@ -210,7 +221,7 @@
         words_waiting = waiting, contact_age_ms = context.contact_age(); "");
 }
 
-/// A barred request came again: tells why it is not sent. `id` is the id of this try.
+/// Records that a barred request was received again, and logs why it is not sent. `id` is the id of this try.
 pub(crate) fn record_barred_retry(context: &Context, request: &Fingerprint, id: &str) {
     let now = context.now();
     let mut control = context.control.lock();
@@ -222,58 +233,59 @@
     drop(control);
     metrics::barred_request_came();
     info!(event = "request_refused_as_barred", request = id, content = request.to_string().as_str(),
-        ended = name_all(&ended).as_str(), last_end_age_ms = age_ms; "");
+        ended = describe_ended_backends(&ended).as_str(), last_end_age_ms = age_ms; "");
 }
 
-/// A request that another node tries came here: tells that it is refused.
+/// Logs that a request is refused because another node runs it as a test. `id` is the id of this try.
 pub(crate) fn log_left_to_another(context: &Context, request: &Fingerprint, id: &str) {
     let suspicion = suspicion(context, request);
     info!(event = "request_left_to_another", request = id, content = request.to_string().as_str(),
         suspicion = format!("{suspicion:?}").as_str(); "");
 }
 
-/// Requests that were barred by what the control stream told since the last call.
+/// Logs the requests that are barred since the last call, by ends that this node saw or read from the control stream.
 pub(crate) fn log_newly_barred(context: &Context) {
     let now = context.now();
     let mut control = context.control.lock();
-    let newly = control.state.crashes_mut().take_newly_barred(now);
+    let newly_barred = control.state.crashes_mut().take_newly_barred(now);
     let crashes = control.state.crashes();
-    let told: Vec<BarredRequest> = newly
+    let barred_requests: Vec<BarredRequest> = newly_barred
         .into_iter()
         .map(|request| BarredRequest {
             request,
             suspicion: crashes.suspicion(&request, now),
-            company: crashes.others_at_ends(&request),
+            others_at_ends: crashes.others_at_ends(&request),
         })
         .collect();
     let remembered = crashes.len();
     drop(control);
-    for barred in told {
+    for barred in barred_requests {
         if let Suspicion::Barred { ended, .. } = barred.suspicion {
             warn!(event = "request_barred", content = barred.request.to_string().as_str(),
-                ended = name_all(&ended).as_str(),
-                company = describe_company(&barred.company).as_str(), remembered = remembered; "");
+                ended = describe_ended_backends(&ended).as_str(),
+                company = describe_others_at_ends(&barred.others_at_ends).as_str(), remembered = remembered; "");
         }
     }
 }
 
-/// A request that was barred, and what tells whether that is right.
+/// A request that was barred, with the data by which an operator can check whether that is right.
 struct BarredRequest {
     request: Fingerprint,
     suspicion: Suspicion,
-    company: Vec<OtherRequestsAtEnd>,
+    others_at_ends: Vec<OtherRequestsAtEnd>,
 }
 
-/// For each end, how many other requests were there and the most ends that one of them has.
-fn describe_company(company: &[OtherRequestsAtEnd]) -> String {
-    let described = company.iter().map(|end| {
-        let (backend, others, most_ends) = (&end.backend, end.others, end.max_ends);
-        format!("{backend}: {others} others with {most_ends} ends at most")
+/// Describes for each end how many other requests ran on the back end, and the maximum number of ends that any of them
+/// has.
+fn describe_others_at_ends(others_at_ends: &[OtherRequestsAtEnd]) -> String {
+    let described = others_at_ends.iter().map(|end| {
+        let (backend, others, max_ends) = (&end.backend, end.others, end.max_ends);
+        format!("{backend}: {others} others with {max_ends} ends at most")
     });
     described.collect::<Vec<String>>().join(", ")
 }
 
-/// Forgets requests of which nothing was heard for long, and counts.
+/// Removes requests without recent ends or retries from the crash ledger, and updates the metrics of suspects.
 pub(crate) fn forget_old(context: &Context) {
     let now = context.now();
     let mut control = context.control.lock();
@@ -284,7 +296,7 @@
     metrics::suspects(remembered, &forgotten);
 }
 
-fn name_all(ended: &[EndedBackend]) -> String {
+fn describe_ended_backends(ended: &[EndedBackend]) -> String {
     let names = ended.iter().map(|ended| {
         let (backend, seen_by) = (&ended.backend, &ended.seen_by);
         format!("{backend} seen by {seen_by}")
@@ -292,8 +304,8 @@
     names.collect::<Vec<String>>().join(", ")
 }
 
-/// Notes and tells that a back end ended under a request. Waits a moment for the word to stand in the log: the
-/// caller may ask another node as soon as it has its answer.
+/// Records and reports that a back end ended under a request. Waits a limited time until the report is in the log,
+/// because the caller may ask another node as soon as it has its answer.
 pub(crate) async fn record_backend_end(
     context: &Arc<Context>,
     request: Fingerprint,
@@ -303,64 +315,66 @@
         backend: backend.clone(),
         seen_by: context.node.machine.clone(),
     };
-    note_ended(context, request, ended.clone());
+    record_end(context, request, ended.clone());
     log_newly_barred(context);
-    if let Some(telling) = tell_an_end(context, request, ended) {
-        telling.wait_a_moment(context).await;
+    if let Some(report) = report_end(context, request, ended) {
+        report.wait_briefly(context).await;
     }
 }
 
-fn note_ended(context: &Context, request: Fingerprint, ended: EndedBackend) {
+fn record_end(context: &Context, request: Fingerprint, ended: EndedBackend) {
     let now = context.now();
     let mut control = context.control.lock();
     let crashes = control.state.crashes_mut();
     crashes.record_end(request, ended, now);
 }
 
-/// A back end answered a request, so that the back end lives. If it answered with success, the request can be run; any
-/// other answer may have been given before it began to run it.
+/// Records that a back end answered a request. The answer shows that the back end is alive, so the ends recorded for it
+/// are retracted. A success also shows that the request is harmless and clears it; any other answer may have been given
+/// before the back end began to run the request.
 pub(crate) fn record_answer(
     context: &Arc<Context>,
     backend: &BackendId,
     is_success: bool,
     request: impl FnOnce() -> Fingerprint,
 ) {
-    // Nothing is worked out, not even the fingerprint, while nobody is suspected.
+    // Without any suspect there is nothing to clear or retract; the fingerprint is not even computed.
     if has_no_suspects(context) {
         return;
     }
     if is_success {
-        clear(context, backend, request());
+        clear_suspicion(context, backend, request());
     }
-    if may_be_next_life(context, backend) {
+    if may_be_next_incarnation(context, backend) {
         return;
     }
-    let lives_after_all = {
+    let is_retracted = {
         let mut control = context.control.lock();
         control.state.crashes_mut().retract_ends_at(backend)
     };
-    if lives_after_all {
+    if is_retracted {
         warn!(event = "backend_lives_after_all", backend = backend.as_str(); "");
         let backend = backend.clone();
-        tell(context, ControlRecord::BackendLives { backend });
+        append_until_written(context, ControlRecord::BackendLives { backend });
     }
 }
 
-/// Whether what answers under a back end's name may be its next life. One that tells when it started is listed anew by
-/// then, if the list was read since.
-fn may_be_next_life(context: &Context, backend: &BackendId) -> bool {
+/// Whether an answer under a back end's name may come from its next incarnation. A back end that reports its start time
+/// gets a new id with each incarnation. So it is still the old one if its id is listed although the last end is long
+/// enough ago for a next incarnation to be listed, and the list is up to date.
+fn may_be_next_incarnation(context: &Context, backend: &BackendId) -> bool {
     if backend.started_at().is_none() {
         return false;
     }
     let is_listed = context.backends.lock().list.get(backend).is_some();
-    let is_fresh = context.contact_age() < FRESH_CONTACT_MS;
+    let is_fresh = context.contact_age() < MAX_FRESH_CONTACT_AGE_MS;
     let control = context.control.lock();
     let age = control.state.crashes().last_end_age(backend, context.now());
-    let would_show = age.is_some_and(|age| age >= NEXT_LIFE_LISTED_MS);
-    !(is_listed && is_fresh && would_show)
+    let would_be_listed = age.is_some_and(|age| age >= NEXT_INCARNATION_LISTED_MS);
+    !(is_listed && is_fresh && would_be_listed)
 }
 
-fn clear(context: &Arc<Context>, backend: &BackendId, request: Fingerprint) {
+fn clear_suspicion(context: &Arc<Context>, backend: &BackendId, request: Fingerprint) {
     let is_cleared = {
         let mut control = context.control.lock();
         control.state.crashes_mut().clear(&request)
@@ -368,12 +382,12 @@
     if is_cleared {
         info!(event = "request_cleared", content = request.to_string().as_str(),
             backend = backend.as_str(), by = "answer"; "");
-        tell(context, ControlRecord::RequestCleared { request });
+        append_until_written(context, ControlRecord::RequestCleared { request });
     }
 }
 
-/// Another node told of an end that the log did not take from it: goes by it, and writes it. False if there is no room
-/// for it.
+/// Records an end that a peer reported because the log did not accept it from the peer, and appends it to the log from
+/// here. Returns false, without recording the end, if the queue of waiting records is full.
 pub(crate) fn record_end_from_peer(
     context: &Arc<Context>,
     request: Fingerprint,
@@ -389,103 +403,115 @@
     if context.crash_guard.is_full() {
         return false;
     }
-    note_ended(context, request, ended.clone());
+    record_end(context, request, ended.clone());
     log_newly_barred(context);
     let ended = ended.clone();
-    // Two machines know of it: nothing is kept back for it.
-    tell(context, ControlRecord::BackendEnded { request, ended });
+    // Two machines know of the end, so the request is not held back for it.
+    append_until_written(context, ControlRecord::BackendEnded { request, ended });
     true
 }
 
-/// How far a word is told.
+/// Progress of a record's way into the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Told {
-    /// The first append is under way.
-    NotYet,
-    /// The log did not take it at once.
-    LogFails,
-    /// It stands in the log.
+enum AppendState {
+    /// The first append is in flight.
+    FirstTry,
+    /// At least one append failed; it is retried.
+    Retrying,
+    /// The record is in the log.
     Written,
 }
 
-/// An end that is being told.
-struct Telling {
-    /// Over as soon as it stands in the log, or another node knows it.
+/// An end that is being reported.
+struct EndReport {
+    /// Completes as soon as the end is in the log or a peer confirmed it.
     task: JoinHandle<()>,
-    told: watch::Receiver<Told>,
+    append_state: watch::Receiver<AppendState>,
 }
 
-impl Telling {
-    /// Waits for that, but not for long: without an answer the request goes on, and the word is told as soon as it can
-    /// be.
-    async fn wait_a_moment(mut self, context: &Context) {
-        let is_told = tokio::time::timeout(TELL_PATIENCE, &mut self.task).await;
-        let is_refused = *self.told.borrow() == Told::LogFails;
-        if is_told.is_err() && is_refused && peer_notices::has_recipients(context) {
-            let _ = tokio::time::timeout(PEER_PATIENCE, self.task).await;
+impl EndReport {
+    /// Waits until the end is reported, but only for a limited time. After that the request continues, and the report
+    /// goes on in the background.
+    async fn wait_briefly(mut self, context: &Context) {
+        let reported = tokio::time::timeout(APPEND_WAIT_TIMEOUT, &mut self.task).await;
+        let is_refused = *self.append_state.borrow() == AppendState::Retrying;
+        if reported.is_err() && is_refused && peer_notices::has_recipients(context) {
+            let _ = tokio::time::timeout(PEER_WAIT_TIMEOUT, self.task).await;
         }
     }
 }
 
-/// Tells of an end.
-fn tell_an_end(
+/// Reports an end through the log and, if the log does not accept it in time, also to a peer. Returns `None` if the
+/// queue of waiting records is full and the report is dropped.
+fn report_end(
     context: &Arc<Context>,
     request: Fingerprint,
     ended: EndedBackend,
-) -> Option<Telling> {
+) -> Option<EndReport> {
     let record = ControlRecord::BackendEnded {
         request,
         ended: ended.clone(),
     };
-    let told = tell(context, record)?;
-    let mut writing = told.clone();
-    context.crash_guard.begin_to_tell(&request, &ended.backend);
+    let append_state = append_until_written(context, record)?;
+    let mut watched_state = append_state.clone();
+    context
+        .crash_guard
+        .add_unreported_end(&request, &ended.backend);
     let context = context.clone();
     let task = tokio::spawn(async move {
-        let fails = writing.wait_for(|told| *told != Told::NotYet);
-        // After this time the request goes on without the word's being known.
-        let _ = tokio::time::timeout(TELL_PATIENCE, fails).await;
-        let is_written = *writing.borrow() == Told::Written;
+        let first_try = watched_state.wait_for(|state| *state != AppendState::FirstTry);
+        // After this time the request continues, even if no other node knows of the end.
+        let _ = tokio::time::timeout(APPEND_WAIT_TIMEOUT, first_try).await;
+        let is_written = *watched_state.borrow() == AppendState::Written;
         if !is_written && !peer_notices::has_recipients(&context) {
             warn!(event = "end_known_here_alone", content = request.to_string().as_str(),
                 backend = ended.backend.as_str(), contact_age_ms = context.contact_age(); "");
         }
         tokio::select! {
-            _ = writing.wait_for(|told| *told == Told::Written) => {}
+            _ = watched_state.wait_for(|state| *state == AppendState::Written) => {}
             recipient = peer_notices::report_end(&context, request, &ended) => {
                 info!(event = "end_told_to_peer", content = request.to_string().as_str(),
                     backend = ended.backend.as_str(), peer = recipient.to_string().as_str(); "");
                 metrics::crash_told("to_peer");
             }
         }
-        context.crash_guard.told(&request, &ended.backend);
+        context
+            .crash_guard
+            .remove_unreported_end(&request, &ended.backend);
     });
-    Some(Telling { task, told })
+    Some(EndReport { task, append_state })
 }
 
-/// Writes a word for the other nodes, again and again until it stands in the log. While the log is away only so many
-/// words wait; more are dropped, and no suspected request is sent until there is room again.
-fn tell(context: &Arc<Context>, record: ControlRecord) -> Option<watch::Receiver<Told>> {
-    let waiting = &context.crash_guard.waiting;
-    if waiting.fetch_add(1, Ordering::Relaxed) >= MOST_WAITING {
-        waiting.fetch_sub(1, Ordering::Relaxed);
-        warn!(event = "crash_not_told", record = format!("{record:?}").as_str(), waiting = MOST_WAITING; "");
+/// Appends a record to the control stream in the background and retries until it is in the log. The number of waiting
+/// records is limited: while it is reached, further records are dropped, with `None` as the result, and no suspected
+/// request is sent.
+fn append_until_written(
+    context: &Arc<Context>,
+    record: ControlRecord,
+) -> Option<watch::Receiver<AppendState>> {
+    let waiting_records = &context.crash_guard.waiting_records;
+    if waiting_records.fetch_add(1, Ordering::Relaxed) >= MAX_WAITING_RECORDS {
+        waiting_records.fetch_sub(1, Ordering::Relaxed);
+        warn!(event = "crash_not_told", record = format!("{record:?}").as_str(), waiting = MAX_WAITING_RECORDS; "");
         metrics::crash_told("dropped");
         return None;
     }
-    let (tell, told) = watch::channel(Told::NotYet);
+    let (state_sender, append_state) = watch::channel(AppendState::FirstTry);
     let context = context.clone();
     tokio::spawn(async move {
         while let Err(error) = append_control(&context, &record).await {
-            tell.send_replace(Told::LogFails);
+            state_sender.send_replace(AppendState::Retrying);
             warn!(event = "crash_not_told_yet", record = format!("{record:?}").as_str(),
                 reason = error.to_string().as_str(); "");
             metrics::crash_told("failed");
-            tokio::time::sleep(TELL_AGAIN_PAUSE).await;
+            tokio::time::sleep(APPEND_RETRY_PAUSE).await;
         }
         metrics::crash_told("written");
-        context.crash_guard.waiting.fetch_sub(1, Ordering::Relaxed);
-        tell.send_replace(Told::Written);
+        context
+            .crash_guard
+            .waiting_records
+            .fetch_sub(1, Ordering::Relaxed);
+        state_sender.send_replace(AppendState::Written);
     });
-    Some(told)
+    Some(append_state)
 }
--- a/crates/gateway/src/edge.rs
+++ b/crates/gateway/src/edge.rs
@@ -1,5 +1,5 @@
-//! What the gateway needs of its surroundings, as traits: the shared log, the directory that
-//! operators and back ends write to, and the dialect in which callers and back ends speak.
+//! The gateway's external interfaces, as traits that a deployment implements: the shared log, the store of checkpoints,
+//! the directories that operators and back ends write to, and the HTTP dialect of callers and back ends.
 
 use std::fmt;
 use std::sync::Arc;
@@ -20,18 +20,18 @@
 
 use crate::operations::OperationsApi;
 
-/// The streams that nodes write to.
+/// A stream of the shared log that nodes write to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum LogStream {
-    /// Batches and their results; there are several streams of them, numbered from 0.
+    /// Items and results of batches. There are several such streams, numbered from 0.
     Batches(u32),
-    /// Which batches there are, and orders to back ends.
+    /// Records for all nodes: which batches there are, orders to back ends, and back ends that crashed.
     Control,
-    /// Places that are taken on back ends.
+    /// Slots in use on back ends.
     Occupancy,
-    /// What each node has counted of the requests of tenants.
+    /// Usage of tenants, as each node counts it.
     Usage,
-    /// The digest of the directory of back ends.
+    /// Digest of the directory of back ends, from which nodes follow it.
     BackendDigest,
 }
 
@@ -59,46 +59,46 @@
 /// Why a call to the log or the directory failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum LogError {
-    /// It could not be reached; nothing was done.
+    /// The service could not be reached; nothing was done.
     #[error("the log cannot be reached")]
     Unreachable,
-    /// It refused the call; nothing was done.
+    /// The service refused the call with this HTTP status; nothing was done.
     #[error("the log refused the call with status {0}")]
     Refused(u16),
-    /// No answer came; the call may have been done, or may be done later.
-    #[error("no answer came from the log")]
+    /// No answer was received; the call may have been done, or may still be done later.
+    #[error("no answer was received from the log")]
     Unknown,
-    /// The records asked for are gone; `first` is the oldest one kept.
+    /// The records asked for were dropped by the log's retention.
     #[error("records before {first} are gone")]
     HistoryDropped {
-        /// Offset of the oldest record kept.
+        /// Offset of the oldest record that the log still has.
         first: u64,
     },
-    /// A name is longer than the log can keep; nothing was done.
+    /// A name is longer than the log can store; nothing was done.
     #[error("the name is too long for the log")]
     NameTooLong,
-    /// The answer could not be understood.
-    #[error("the log answered with something unreadable")]
+    /// The answer could not be decoded.
+    #[error("the answer of the log could not be decoded")]
     Unreadable,
 }
 
-/// Status by which the log says that too many calls are made.
+/// HTTP status of the log for a call above its rate limit.
 const TOO_MANY_REQUESTS: u16 = 429;
-/// Status by which the log says that calls would wait too long in its queues.
+/// HTTP status of the log for a call that would wait too long in its queues.
 const SERVICE_UNAVAILABLE: u16 = 503;
 
 impl LogError {
-    /// Whether the log refused the call because too many are made.
+    /// Whether the log refused the call because its rate limit is exceeded.
     pub fn is_throttled(self) -> bool {
         self == Self::Refused(TOO_MANY_REQUESTS)
     }
 
-    /// Whether the log refused the call as it has more to do than it can.
+    /// Whether the log refused the call because of its load: by its rate limit or because its queues are too long.
     pub fn is_overloaded(self) -> bool {
         self.is_throttled() || self == Self::Refused(SERVICE_UNAVAILABLE)
     }
 
-    /// Whether it is certain that nothing was done and nothing will be.
+    /// Whether it is certain that the call was not done and will not be done later.
     pub fn is_not_done(self) -> bool {
         matches!(
             self,
@@ -107,12 +107,12 @@
     }
 }
 
-/// An append that was acknowledged.
+/// Position of an append that the log acknowledged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Appended {
-    /// Offset of the first record.
+    /// Offset of the first appended record.
     pub offset: u64,
-    /// End of the partition after it.
+    /// End of the partition after the append: the offset that its next record gets.
     pub end: u64,
 }
 
@@ -121,24 +121,24 @@
 pub struct LogPage {
     /// Offset of the first of `records`.
     pub from: u64,
-    /// End of the partition when it was read.
+    /// End of the partition when it was read: the offset that its next record gets.
     pub end: u64,
-    /// The records.
+    /// Consecutive records, starting at `from`.
     pub records: Vec<Bytes>,
 }
 
-/// The shared log.
+/// The log that all nodes share: ordered, partitioned streams of records.
 #[async_trait]
 pub trait SharedLog: Send + Sync {
-    /// Appends records to a partition, all or nothing.
+    /// Appends records to a partition: all of them or none.
     async fn append(
         &self,
         partition: StreamPartition,
         records: Vec<Bytes>,
     ) -> Result<Appended, LogError>;
 
-    /// The same for records that count each time they stand there, so that the log's driver must not
-    /// send them again by itself. An append that cannot be told from a lost one is given up early.
+    /// Like [`append`](Self::append), for records that take effect once per copy in the log, so that the log's driver
+    /// must not retry by itself. A driver gives up early on an append whose outcome it does not learn.
     async fn append_once(
         &self,
         partition: StreamPartition,
@@ -147,7 +147,7 @@
         self.append(partition, records).await
     }
 
-    /// Reads records from an offset on; waits up to `wait` for one.
+    /// Reads records from an offset on. If there is none yet, waits up to `wait` for one.
     async fn read(
         &self,
         partition: StreamPartition,
@@ -155,215 +155,221 @@
         wait: Duration,
     ) -> Result<LogPage, LogError>;
 
-    /// From now on a read is given up after so long without an answer, besides the time that it is asked to wait.
+    /// Sets the timeout of later reads. It counts in addition to the `wait` of each read.
     fn set_read_timeout(&self, _timeout: Duration) {}
 }
 
-/// Newest values by name, which are kept for good.
+/// A key-value store that keeps the newest value of each name without a time limit.
 #[async_trait]
 pub trait CheckpointStore: Send + Sync {
-    /// Replaces the value of a name.
+    /// Sets the value of a name, replacing an earlier one.
     async fn save(&self, name: &str, value: Bytes) -> Result<(), LogError>;
 
-    /// The value of a name, if there is one.
+    /// Reads the value of a name; `None` if it was never saved.
     async fn load(&self, name: &str) -> Result<Option<Bytes>, LogError>;
 }
 
-/// The directories that others write and nodes follow.
+/// A directory that operators or back ends write to and that nodes follow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DirectoryKind {
-    /// Configuration and named versions, by operators and trainers.
+    /// Configuration, evacuations and named versions, written by operators and trainers.
     Operators,
-    /// Back ends, by themselves.
+    /// Entries that back ends write about themselves.
     Backends,
 }
 
 /// One entry of a directory.
 #[derive(Debug, Clone)]
 pub enum DirectoryEntry {
-    /// The configuration of routes.
+    /// An operator wrote the configuration of routes.
     Routing(RoutingConfig),
-    /// A trainer named a version of a model.
+    /// A trainer named a version of a model as the one to serve.
     NamedVersion {
-        /// The model.
+        /// Model that the version belongs to.
         model: ModelName,
-        /// The version.
+        /// Version that back ends are to load.
         version: Version,
     },
-    /// An operator wants a zone's back ends to get nothing new, or does not any more.
+    /// An operator started or ended the evacuation of a zone. Back ends of an evacuated zone get no new requests.
     Evacuation {
-        /// The zone.
+        /// Zone that is concerned.
         zone: ZoneName,
-        /// Whether it is to be evacuated.
+        /// True if the zone is to be evacuated, false if its evacuation ends.
         is_requested: bool,
     },
-    /// A back end's entry changed.
+    /// A back end's entry was written or removed.
     Backend(BackendChange),
-    /// An entry of a back end that could not be read: nobody that is known to be one wrote it.
+    /// An entry under a back end's name that could not be decoded. Whoever wrote it is not known to be a back end.
     UnreadableBackend(BackendName),
-    /// An entry that could not be read; the text names it.
+    /// Another entry that could not be decoded; the text names it.
     Unreadable(String),
 }
 
-/// Entries of a directory that changed.
+/// Changed entries of a directory.
 #[derive(Debug, Clone)]
 pub struct DirectoryPage {
-    /// The entries, in the order they were written.
+    /// Changed entries, in the order they were written.
     pub entries: Vec<DirectoryEntry>,
     /// Offset from which later changes can be read.
     pub next: u64,
-    /// Changes that were there behind these.
+    /// Number of changes that the directory had after this page when it was read.
     pub remaining: u64,
 }
 
-/// One page of a listing; pages are no snapshot.
+/// One page of a listing. The pages of a listing are read at different times and do not form a snapshot.
 #[derive(Debug, Clone)]
 pub struct ListingPage {
-    /// The entries.
+    /// Newest state of each entry on this page.
     pub entries: Vec<DirectoryEntry>,
     /// Offset from which changes since this page can be read.
     pub end: u64,
-    /// Where the next page begins, if there is one.
+    /// Token to pass as `after` for the next page; `None` on the last page.
     pub more: Option<String>,
 }
 
-/// The directories.
+/// Read access to the directories.
 #[async_trait]
 pub trait Directory: Send + Sync {
-    /// A page of the newest of all entries, from where an earlier page said.
+    /// Reads a page of the listing of all entries in their newest state. `after` is the `more` of the previous page,
+    /// `None` for the first page.
     async fn list(&self, kind: DirectoryKind, after: Option<&str>)
     -> Result<ListingPage, LogError>;
 
-    /// Changes from an offset on, some `most_bytes` of them and at least one; waits up to `wait` for one.
+    /// Reads changes from an offset on: about `max_bytes` of them, but at least one if there is any. If there is none
+    /// yet, waits up to `wait` for one.
     async fn changes(
         &self,
         kind: DirectoryKind,
         from: u64,
         wait: Duration,
-        most_bytes: u32,
+        max_bytes: u32,
     ) -> Result<DirectoryPage, LogError>;
 }
 
-/// Names of headers.
+/// Names of the HTTP headers that a dialect uses.
 #[derive(Debug, Clone)]
 pub struct HeaderNames {
-    /// Id of a request; answers of back ends carry it too.
+    /// Id of a request, on requests and on the answers of back ends.
     pub request_id: HeaderName,
-    /// Milliseconds that remain for a request.
+    /// Time in milliseconds that remains for a request.
     pub deadline_ms: HeaderName,
-    /// The only back end that may run a request.
+    /// Name of the only back end that may run a request; any other one must refuse it.
     pub expected_backend: HeaderName,
-    /// Set on an answer that says that the request did not run.
+    /// Present on an answer if the back end did not run the request.
     pub not_run: HeaderName,
     /// A back end's signature on its answer.
     pub signature: HeaderName,
     /// Version of the weights, on answers and in events.
     pub weight_version: HeaderName,
-    /// How urgent a back end is to take a request, 0 to 9.
+    /// Urgency with which a back end is to handle a request, 0 to 9.
     pub urgency: HeaderName,
-    /// Last event that a resumed stream already has.
+    /// Id of the last event that the client of a resumed stream already has.
     pub last_event_id: HeaderName,
-    /// How long a reader wants to wait.
+    /// Maximum time in milliseconds that a reader waits for results.
     pub wait_ms: HeaderName,
-    /// The key that a caller presents; never passed on.
+    /// API key that a caller presents; never forwarded to back ends.
     pub api_key: HeaderName,
-    /// The tenant whose key was presented, as back ends are told.
+    /// Tenant that the presented key belongs to, on requests to back ends.
     pub tenant: HeaderName,
 }
 
-/// A call that concerns batches and goes by a path of its own.
+/// A call about a submitted batch, on a path that is reserved for such calls.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum BatchCall {
     /// Read results from a position on.
     Read {
-        /// Batch.
+        /// Batch whose results are read.
         batch: BatchId,
         /// Position of the first result wanted.
         from: usize,
     },
     /// Read the body of an item.
     ItemBody {
-        /// Batch.
+        /// Batch that the item belongs to.
         batch: BatchId,
-        /// Item.
+        /// Item whose body is read.
         item: ItemId,
     },
-    /// End the batch.
+    /// End the batch: its unfinished items are not run any more.
     End {
-        /// Batch.
+        /// Batch to end.
         batch: BatchId,
     },
-    /// One of these paths, but not a call that can be understood.
+    /// A call on a reserved path that cannot be parsed.
     Malformed,
 }
 
 /// A page of results for a reader.
 #[derive(Debug)]
 pub struct ResultPage<'a> {
-    /// Items of the batch.
+    /// Number of items of the batch.
     pub total: usize,
-    /// Position after the last result of the page.
+    /// Position after the last result of the page, from which the next page is read.
     pub next: usize,
-    /// The results.
+    /// Results of the page, each with its item, in the order of their positions.
     pub results: Vec<(&'a ItemId, &'a ItemResult)>,
 }
 
-/// What becomes of running requests while a version is loaded.
+/// How a back end treats running requests when it loads a version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadMode {
-    /// They end first.
+    /// The back end finishes them before it loads the version.
     Wait,
-    /// They go on under the new version.
+    /// The back end continues them with the new version.
     Retain,
 }
 
-/// An order to load a version.
+/// An order to a back end to load a version of a model.
 #[derive(Debug, Clone)]
 pub struct VersionOrder {
-    /// The model.
+    /// Model to load.
     pub model: ModelName,
-    /// The version.
+    /// Version to load.
     pub version: Version,
-    /// What becomes of running requests.
+    /// How the back end treats running requests.
     pub mode: LoadMode,
-    /// Name of the holder of the lease.
+    /// Name of the node that holds the order lease and sends the order.
     pub holder: String,
-    /// The holder's fencing token.
+    /// Fencing token of the holder's lease.
     pub fence: u64,
-    /// Orders the back end must have taken so far, if known.
+    /// Number of orders that the back end must have accepted before this one; `None` if it is unknown.
     pub expected_orders: Option<u64>,
 }
 
-/// What a back end reports of itself.
+/// A back end's report about itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BackendReport {
-    /// Versions of its models.
+    /// Version that it serves of each of its models.
     pub models: std::collections::BTreeMap<ModelName, Version>,
-    /// Whether an order is under way.
+    /// Whether it is carrying out an order.
     pub busy: bool,
-    /// Orders it has taken.
+    /// Number of orders that it has accepted.
     pub orders_taken: u64,
-    /// When its process started, in milliseconds since the beginning of 1970, if it tells that.
+    /// Start time of its process, in milliseconds since the Unix epoch; `None` if it does not report it.
     pub started_at: Option<u64>,
 }
 
-/// A submission that cannot be read; the text says why.
+/// A submitted batch that cannot be parsed; the text says why.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("not a batch: {0}")]
 pub struct UnreadableSubmission(pub String);
 
-/// The dialect of callers and back ends.
+/// The HTTP dialect of callers and back ends: the headers, paths and bodies that they use.
 pub trait Dialect: Send + Sync {
-    /// Names of headers.
+    /// Names of the headers of this dialect.
     fn headers(&self) -> &HeaderNames;
 
-    /// Whether a request on the readiness address asks for readiness.
+    /// Whether a request to the readiness address is a readiness check.
     fn is_readiness_call(&self, method: &Method, path: &str) -> bool;
 
-    /// The call on batches that a path names, if it is one.
+    /// Parses a call about a batch; `None` if the path is not reserved for such calls.
     fn batch_call(&self, method: &Method, uri: &Uri) -> Option<BatchCall>;
 
-    /// Reads a batch that is handed in.
+    /// Parses a batch that is submitted under an id, from the host, path and body of the request.
+    ///
+    /// # Errors
+    ///
+    /// [`UnreadableSubmission`] if the body is not a batch.
     fn read_submission(
         &self,
         batch: BatchId,
@@ -372,62 +378,62 @@
         body: &[u8],
     ) -> Result<Submission, UnreadableSubmission>;
 
-    /// Tokens of an item's prompt; zero if its caller doesn't tell.
+    /// Number of tokens of an item's prompt; zero if the caller does not state it.
     fn prompt_tokens(&self, item: &Item) -> u32;
 
-    /// Bytes that a result takes in a page, at most.
+    /// Upper bound of the bytes that a result takes in a page.
     fn result_bytes(&self, result: &ItemResult) -> usize;
 
-    /// Writes a page of results.
+    /// Encodes a page of results as the body of an answer.
     fn write_results(&self, page: &ResultPage<'_>) -> Bytes;
 
-    /// Content type of bodies that the gateway writes itself.
+    /// Content type of the bodies that the gateway itself produces.
     fn content_type(&self) -> &'static str;
 
-    /// The request that gives an order.
+    /// Builds the request that sends an order to a back end.
     fn order_request(&self, order: &VersionOrder) -> Request<Full<Bytes>>;
 
-    /// The request that asks a back end for its report.
+    /// Builds the request that asks a back end for its report.
     fn report_request(&self) -> Request<Full<Bytes>>;
 
-    /// Reads a report.
+    /// Parses a back end's report; `None` if the body is not one.
     fn read_report(&self, body: &[u8]) -> Option<BackendReport>;
 
-    /// Whether an answer says that the request did not run.
+    /// Whether an answer states that the back end did not run the request.
     fn is_not_run(&self, status: StatusCode, headers: &http::HeaderMap) -> bool {
         status == StatusCode::MISDIRECTED_REQUEST || headers.contains_key(&self.headers().not_run)
     }
 }
 
-/// What a node is put together from.
+/// Implementations of the external interfaces with which a node is started.
 pub struct NodeDependencies {
-    /// The shared log.
+    /// Log that all nodes share.
     pub log: Arc<dyn SharedLog>,
-    /// Checkpoints of its streams.
+    /// Store for checkpoints of the log's streams.
     pub checkpoints: Arc<dyn CheckpointStore>,
-    /// The directories.
+    /// Directories of operators and back ends.
     pub directory: Arc<dyn Directory>,
-    /// The dialect of callers and back ends.
+    /// HTTP dialect of callers and back ends.
     pub dialect: Arc<dyn Dialect>,
-    /// The platform's interface for operations, where there is one.
+    /// The platform's interface for operations; `None` if the platform has none.
     pub operations: Option<Arc<dyn OperationsApi>>,
 }
 
-/// Milliseconds of the process on the clock that counts suspended time.
+/// A node's clock: milliseconds since the start of its process, including time in which the machine is suspended.
 #[derive(Debug, Clone, Copy)]
 pub struct NodeClock {
     start: havenstage_clock::Instant,
 }
 
 impl NodeClock {
-    /// A clock that starts at 1,000 ms, so that "long ago" can be expressed.
+    /// Starts a clock at 1,000 ms, so that a time before the start of the process can be expressed.
     pub fn start() -> Self {
         Self {
             start: havenstage_clock::Instant::now() - Duration::from_secs(1),
         }
     }
 
-    /// Milliseconds since the start.
+    /// Milliseconds since the start of the process, plus 1,000.
     pub fn now(&self) -> Millis {
         self.start.elapsed().as_millis() as Millis
     }
--- a/crates/gateway/src/fingerprint.rs
+++ b/crates/gateway/src/fingerprint.rs
@@ -1,5 +1,6 @@
-//! What stays the same of a request when its caller sends it again: method, host, path and body, but not
-//! its id, its deadline, or whatever else is new with each try. A load of a version has one too.
+//! Fingerprints of requests: a hash of what stays the same when a caller sends a request again, which is its method,
+//! host, path and body. The id, the deadline and whatever else is new with each try are left out. A load of a model
+//! version has a fingerprint too.
 
 use havenstage_rollout::batch::Item;
 use havenstage_rollout::crash_ledger::Fingerprint;
@@ -8,13 +9,13 @@
 
 use crate::calls::Call;
 
-/// Sets these hashes apart from others of the same bytes.
-const CONTEXT: &str = "havenstage gateway 2026 request fingerprint";
-/// Bytes of the hash that are kept: two requests share them by chance once in 2^64 requests, and nobody can
-/// choose a body so that it shares them with somebody else's.
-const KEPT_BYTES: usize = 16;
+/// Context string of the key derivation, which separates these hashes from other hashes of the same bytes.
+const HASH_CONTEXT: &str = "havenstage gateway 2026 request fingerprint";
+/// Length of a fingerprint. With 16 bytes a collision by chance is expected only among some 2^64 requests, and nobody
+/// can choose a body whose fingerprint equals that of somebody else's request.
+const FINGERPRINT_BYTES: usize = 16;
 
-/// The fingerprint of a call.
+/// The fingerprint of a caller's request.
 pub(crate) fn of_call(call: &Call) -> Fingerprint {
     let host = call.headers.get(HOST);
     let path = call.uri.path_and_query();
@@ -26,7 +27,7 @@
     ])
 }
 
-/// The fingerprint of an item of a batch, whichever batch carries it.
+/// The fingerprint of an item of a batch. It does not depend on the batch.
 pub(crate) fn of_item(host: &str, item: &Item) -> Fingerprint {
     of_parts([
         http::Method::POST.as_str().as_bytes(),
@@ -36,21 +37,26 @@
     ])
 }
 
-/// Stands for the method of loads, which no request can have.
-const LOAD: &[u8] = b"load a version";
+/// Takes the place of the method in fingerprints of loads. It contains spaces, so no request can have it as its method.
+const LOAD_METHOD: &[u8] = b"load a version";
 
-/// The fingerprint of loading a version, wherever that is done.
+/// The fingerprint of loading a version of a model. It is the same on every back end.
 pub(crate) fn of_load(model: &ModelName, version: Version) -> Fingerprint {
-    of_parts([LOAD, model.as_str().as_bytes(), &version.to_le_bytes(), &[]])
+    of_parts([
+        LOAD_METHOD,
+        model.as_str().as_bytes(),
+        &version.to_le_bytes(),
+        &[],
+    ])
 }
 
 fn of_parts(parts: [&[u8]; 4]) -> Fingerprint {
-    let mut hasher = blake3::Hasher::new_derive_key(CONTEXT);
+    let mut hasher = blake3::Hasher::new_derive_key(HASH_CONTEXT);
     for part in parts {
         hasher.update(&(part.len() as u64).to_le_bytes());
         hasher.update(part);
     }
-    let mut kept = [0; KEPT_BYTES];
-    kept.copy_from_slice(&hasher.finalize().as_bytes()[..KEPT_BYTES]);
-    Fingerprint::new(kept)
+    let mut fingerprint = [0; FINGERPRINT_BYTES];
+    fingerprint.copy_from_slice(&hasher.finalize().as_bytes()[..FINGERPRINT_BYTES]);
+    Fingerprint::new(fingerprint)
 }
--- a/crates/gateway/src/peer_notices.rs
+++ b/crates/gateway/src/peer_notices.rs
@@ -1,8 +1,9 @@
-//! Notices from node to node, past the log: where the log does not take what a node saw, another node takes it, goes by it
-//! and writes it. What then stands in two machines' memory is not lost with one of them.
+//! Notices that nodes send to each other directly when the log does not accept a record: the receiving node applies the
+//! notice and appends it to the log in the sender's place. The information is then in the memory of two machines and is
+//! not lost with one of them.
 //!
-//! A notice is one datagram, and so is its answer; both may be lost, so a notice is sent until it is answered, each time to other
-//! machines.
+//! A notice is one UDP datagram, and so is its answer. Both may be lost, so a notice is sent until it is answered, each
+//! time to another random choice of machines.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -22,34 +23,35 @@
 use crate::metrics;
 use crate::server::ListenError;
 
-/// First bytes of each datagram: what it is, and the form of what follows.
+/// First bytes of each datagram: they identify a notice and the version of its encoding.
 const MARK: &[u8] = b"havenstage1";
-/// Longest datagram that is read. A notice holds some 200 bytes.
-const MOST_BYTES: usize = 1_024;
-/// Other machines that get a notice at a time.
+/// Maximum length of a datagram that is read. A notice takes some 200 bytes.
+const MAX_DATAGRAM_BYTES: usize = 1_024;
+/// Number of other machines that a notice is sent to at a time.
 const RECIPIENTS: usize = 2;
-/// Time after which a notice without an answer is sent to others: some ten round trips between zones.
-const ANSWER_TIME: Duration = Duration::from_millis(100);
-/// Longest pause between two tries to tell a notice: what waits while everything is away must not take up a small machine.
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
-/// Pause after a failure to receive, so that one that stays does not take a whole processor.
-const RECEIVE_AGAIN_PAUSE: Duration = Duration::from_millis(100);
-/// Most notices that wait for an answer.
-const MOST_ASKED: usize = 256;
-
-/// Number of a notice, by which its answer names it.
+/// Time after which a notice without an answer is sent to other machines: some ten round trips between zones.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(100);
+/// Maximum pause between two tries to send a notice. The backoff up to it keeps notices that wait while the log and all
+/// peers are unreachable from overloading a small machine.
+const MAX_RETRY_PAUSE: Duration = Duration::from_secs(2);
+/// Pause after a failure to receive, so that a persistent failure does not keep a processor busy.
+const RECEIVE_RETRY_PAUSE: Duration = Duration::from_millis(100);
+/// Maximum number of notices that wait for an answer at a time.
+const MAX_UNANSWERED_NOTICES: usize = 256;
+
+/// Random number of a notice, which its answer repeats.
 type NoticeId = u64;
 
-/// What nodes say to each other.
+/// A message between two nodes: a notice or the answer to one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 enum PeerNotice {
-    /// A back end ended while it ran a request, and the log does not take that.
+    /// A back end ended while it ran a request, and the log did not accept the sender's record of it.
     BackendEnded {
         id: NoticeId,
         request: Fingerprint,
         ended: EndedBackend,
     },
-    /// The notice is known here, and will be written.
+    /// Answer: the receiver has recorded the notice and will append it to the log.
     Heard { id: NoticeId },
 }
 
@@ -57,10 +59,10 @@
     const DESCRIPTION: &'static str = "a notice of another node";
 }
 
-/// Why a datagram is no notice of a node.
+/// Why a datagram is not a valid notice.
 #[derive(Debug, Error)]
 enum BadDatagram {
-    #[error("it does not begin as the notices of nodes do")]
+    #[error("the datagram does not begin with the mark of notices")]
     NoMark,
     #[error(transparent)]
     Unreadable(#[from] UnreadableValue),
@@ -79,15 +81,16 @@
     }
 }
 
-/// Where datagrams of other nodes come in, and what this node waits to be answered.
+/// Socket for the datagrams of other nodes, and this node's notices that wait for an answer.
 pub(crate) struct PeerSocket {
     socket: UdpSocket,
     address: SocketAddr,
-    asked: Mutex<HashMap<NoticeId, oneshot::Sender<SocketAddr>>>,
+    /// For each notice without an answer, where to send the address of the node that answers it.
+    unanswered: Mutex<HashMap<NoticeId, oneshot::Sender<SocketAddr>>>,
 }
 
 impl PeerSocket {
-    /// Takes datagrams at an address.
+    /// Binds a socket to an address.
     pub(crate) async fn bind(address: SocketAddr) -> Result<Self, ListenError> {
         let failed = |source| ListenError {
             purpose: "datagrams'",
@@ -98,21 +101,23 @@
         Ok(Self {
             address: socket.local_addr().map_err(failed)?,
             socket,
-            asked: Mutex::default(),
+            unanswered: Mutex::default(),
         })
     }
 
-    /// Where it takes them.
+    /// The local address of the socket.
     pub(crate) fn address(&self) -> SocketAddr {
         self.address
     }
 
-    fn lock_asked(&self) -> MutexGuard<'_, HashMap<NoticeId, oneshot::Sender<SocketAddr>>> {
-        self.asked.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_unanswered(&self) -> MutexGuard<'_, HashMap<NoticeId, oneshot::Sender<SocketAddr>>> {
+        self.unanswered
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     async fn send(&self, notice: &PeerNotice, to: SocketAddr) {
-        // One that cannot be sent is one that is lost.
+        // A datagram that cannot be sent is treated like one that is lost on the way.
         if let Err(error) = self.socket.send_to(&notice.to_datagram(), to).await {
             warn!(event = "peer_notice_not_sent", to = to.to_string().as_str(),
                 reason = error.to_string().as_str(); "");
@@ -120,20 +125,20 @@
     }
 }
 
-/// Whether this node knows of others that could hear it.
+/// Whether this node has a socket for notices and knows the address of another node.
 pub(crate) fn has_recipients(context: &Context) -> bool {
     context.peer_socket.get().is_some() && !recipients(context, 1).is_empty()
 }
 
-/// Addresses of some other nodes.
+/// Addresses of up to `count` other nodes, chosen at random.
 fn recipients(context: &Context, count: usize) -> Vec<SocketAddr> {
     let control = context.control.lock();
     let addresses = control.state.reachable();
     addresses.sample_others(&context.node.machine, count, rand::random())
 }
 
-/// Tells other nodes that a back end ended under a request, until one has heard it; answers where that is. Without a
-/// socket of its own a node tells nobody, and this never ends.
+/// Reports to other nodes that a back end ended under a request. Retries until one of them confirms it, and returns the
+/// address of that node. Never returns if this node has no socket for notices.
 pub(crate) async fn report_end(
     context: &Context,
     request: Fingerprint,
@@ -144,28 +149,29 @@
     };
     let mut pause = Duration::ZERO;
     loop {
-        if let Some(recipient) = tell_once(context, socket, request, ended).await {
+        if let Some(recipient) = try_report_end(context, socket, request, ended).await {
             return recipient;
         }
         tokio::time::sleep(pause).await;
-        pause = (pause * 2).clamp(ANSWER_TIME, LONGEST_PAUSE);
+        pause = (pause * 2).clamp(ANSWER_TIMEOUT, MAX_RETRY_PAUSE);
     }
 }
 
-/// Tells some other nodes, and waits a moment for the answer of one.
-async fn tell_once(
+/// Sends the notice to some other nodes once. Returns the address of the first one that answers, `None` after
+/// [`ANSWER_TIMEOUT`] without an answer.
+async fn try_report_end(
     context: &Context,
     socket: &PeerSocket,
     request: Fingerprint,
     ended: &EndedBackend,
 ) -> Option<SocketAddr> {
     let recipients = recipients(context, RECIPIENTS);
-    if recipients.is_empty() || socket.lock_asked().len() >= MOST_ASKED {
-        tokio::time::sleep(ANSWER_TIME).await;
+    if recipients.is_empty() || socket.lock_unanswered().len() >= MAX_UNANSWERED_NOTICES {
+        tokio::time::sleep(ANSWER_TIMEOUT).await;
         return None;
     }
     let id = rand::random();
-    let (answer, asking) = Asking::begin(socket, id);
+    let (answer, unanswered) = UnansweredNotice::register(socket, id);
     let notice = PeerNotice::BackendEnded {
         id,
         request,
@@ -174,48 +180,48 @@
     for recipient in recipients {
         socket.send(&notice, recipient).await;
     }
-    let answer = tokio::time::timeout(ANSWER_TIME, answer).await;
-    drop(asking);
+    let answer = tokio::time::timeout(ANSWER_TIMEOUT, answer).await;
+    drop(unanswered);
     answer.ok()?.ok()
 }
 
-/// A notice that waits for its answer, until this is dropped.
-struct Asking<'a> {
+/// Keeps a notice registered as waiting for its answer until it is dropped.
+struct UnansweredNotice<'a> {
     socket: &'a PeerSocket,
     id: NoticeId,
 }
 
-impl<'a> Asking<'a> {
-    fn begin(socket: &'a PeerSocket, id: NoticeId) -> (oneshot::Receiver<SocketAddr>, Self) {
-        let (answered, answer) = oneshot::channel();
-        socket.lock_asked().insert(id, answered);
+impl<'a> UnansweredNotice<'a> {
+    fn register(socket: &'a PeerSocket, id: NoticeId) -> (oneshot::Receiver<SocketAddr>, Self) {
+        let (answer_sender, answer) = oneshot::channel();
+        socket.lock_unanswered().insert(id, answer_sender);
         (answer, Self { socket, id })
     }
 }
 
-impl Drop for Asking<'_> {
+impl Drop for UnansweredNotice<'_> {
     fn drop(&mut self) {
-        self.socket.lock_asked().remove(&self.id);
+        self.socket.lock_unanswered().remove(&self.id);
     }
 }
 
-/// Takes the notices of other nodes, and ends with the process.
+/// Receives and handles the datagrams of other nodes for as long as the process runs.
 pub(crate) async fn serve(context: Arc<Context>) {
     let Some(socket) = context.peer_socket.get() else {
         return;
     };
-    let mut buffer = [0; MOST_BYTES];
+    let mut buffer = [0; MAX_DATAGRAM_BYTES];
     loop {
         let (length, from) = match socket.socket.recv_from(&mut buffer).await {
             Ok(received) => received,
             Err(error) => {
                 warn!(event = "peer_notice_not_received", reason = error.to_string().as_str(); "");
-                tokio::time::sleep(RECEIVE_AGAIN_PAUSE).await;
+                tokio::time::sleep(RECEIVE_RETRY_PAUSE).await;
                 continue;
             }
         };
         match PeerNotice::from_datagram(&buffer[..length]) {
-            Ok(notice) => take(&context, socket, notice, from).await,
+            Ok(notice) => handle_notice(&context, socket, notice, from).await,
             Err(error) => {
                 metrics::peer_notice("unreadable");
                 warn!(event = "peer_notice_unreadable", from = from.to_string().as_str(),
@@ -225,23 +231,28 @@
     }
 }
 
-async fn take(context: &Arc<Context>, socket: &PeerSocket, notice: PeerNotice, from: SocketAddr) {
+async fn handle_notice(
+    context: &Arc<Context>,
+    socket: &PeerSocket,
+    notice: PeerNotice,
+    from: SocketAddr,
+) {
     match notice {
         PeerNotice::BackendEnded { id, request, ended } => {
-            let is_kept = crash_guard::record_end_from_peer(context, request, &ended);
-            metrics::peer_notice(if is_kept { "heard" } else { "no_room" });
+            let is_recorded = crash_guard::record_end_from_peer(context, request, &ended);
+            metrics::peer_notice(if is_recorded { "heard" } else { "no_room" });
             info!(event = "peer_notice_heard", from = from.to_string().as_str(),
                 content = request.to_string().as_str(), backend = ended.backend.as_str(),
-                seen_by = ended.seen_by.as_str(), is_kept = is_kept; "");
-            if is_kept {
+                seen_by = ended.seen_by.as_str(), is_kept = is_recorded; "");
+            if is_recorded {
                 socket.send(&PeerNotice::Heard { id }, from).await;
             }
         }
         PeerNotice::Heard { id } => {
-            // Nobody waits for the second answer to one notice.
-            if let Some(answered) = socket.lock_asked().remove(&id) {
+            // Only the first answer to a notice is used: a notice goes to several nodes.
+            if let Some(answer_sender) = socket.lock_unanswered().remove(&id) {
                 metrics::peer_notice("answered");
-                let _ = answered.send(from);
+                let _ = answer_sender.send(from);
             }
         }
     }
