--- a/crates/gateway/tests/crashing_requests.rs
+++ b/crates/gateway/tests/crashing_requests.rs
@@ -1,15 +1,12 @@
-//! Symptom: a pool of three back ends was gone again and again for seconds. The same request ended each of
-//! them; after three had ended under it, it was sent to back ends four to seven times more, and 13 ended.
+//! A request that crashes back ends is barred at all nodes after three ends.
 //!
-//! Sequence: a request ends the back end that begins to run it. Its node sends it to the next one, as its
-//! kind may be repeated, until the route's attempts are used up. Its caller asks another node, which begins
-//! anew, and so on, also with the back ends' next lives.
-//!
-//! Cause: nothing was remembered of a request from one try to the next, nor from node to node. A failed send
-//! counted against the back end alone.
-//!
-//! What settled it: lines `call` with `sends` of `broken,broken` at one node after the other, each with back
-//! ends that had started seconds before and ended with that send.
+//! The tests guard against a request that crashes one back end after the other. Its node retries it on the next back
+//! end until the route's attempts are used up, its caller asks another node, which starts again, and so on, also with
+//! the back ends' next incarnations. If nodes kept nothing about a request from one try to the next and a failed send
+//! counted against the back end alone, a pool of three back ends would be gone for seconds again and again: after three
+//! ends the request was sent four to seven times more, and 13 back ends ended. In the log, this shows as `call` lines
+//! with `sends` of `broken,broken` at one node after the other, each on back ends that started seconds before and ended
+//! with that send.
 
 mod support;
 
@@ -26,8 +23,9 @@
 };
 use support::log::{LogFaults, NodeLog};
 
-/// Time for nodes to learn from each other.
-const LEARNING: Duration = Duration::from_millis(400);
+/// Time in which nodes learn of the ends that other nodes saw.
+const PROPAGATION_TIME: Duration = Duration::from_millis(400);
+
 async fn nodes(deployment: &Deployment, names: &[&str]) -> Vec<TestNode> {
     let mut nodes = Vec::new();
     for name in names {
@@ -54,13 +52,13 @@
     }
     let ended = count_ended(&deployment.applications);
     assert!(ended <= MAX_ENDS, "{ended} back ends ended");
-    let honest = ask(&nodes[0], "honest", "/calls/honest").await;
-    assert_eq!(honest, 200, "the back ends that are left serve");
+    let harmless = ask(&nodes[0], "honest", "/calls/honest").await;
+    assert_eq!(harmless, 200, "the remaining back ends serve");
 }
 
-/// Its next tries come to back ends' next lives, which know nothing of the former ones.
+/// Later tries of a harmful request reach the next incarnations of the back ends, which run under new ids.
 #[tokio::test]
-async fn back_ends_that_came_back_are_not_ended_again() {
+async fn restarted_back_ends_are_not_ended_again() {
     let deployment = Deployment::start(0, 3).await;
     end_on_harmful_requests(&deployment.applications);
     let node = deployment.node("a").await;
@@ -88,7 +86,7 @@
     assert_eq!(ask(&node, "honest", "/calls/honest").await, 200);
 }
 
-/// The batch's other items are made, and this one is neither run again nor given up before its time.
+/// The other items of the batch are completed; the harmful one is neither run again nor reported as given up early.
 #[tokio::test]
 async fn an_item_that_ends_back_ends_is_not_run_again() {
     let deployment = Deployment::start(8, 0).await;
@@ -107,35 +105,35 @@
     assert!(ended <= MAX_ENDS, "{ended} back ends ended");
 }
 
-/// Connections that break say nothing against a request while the back ends live.
+/// Broken connections don't count against a request while the back ends are alive.
 #[tokio::test]
 async fn a_request_whose_connections_break_is_not_refused() {
     let deployment = Deployment::start(0, 3).await;
     for backend in &deployment.applications {
-        backend.behave(|told| told.call = CallBehaviour::Break);
+        backend.behave(|behaviour| behaviour.call = CallBehaviour::Break);
     }
     let node = deployment.node("a").await;
     for number in 0..5 {
         ask(&node, &format!("broken-{number}"), "/calls/honest").await;
     }
     for backend in &deployment.applications {
-        backend.behave(|told| told.call = CallBehaviour::Answer);
+        backend.behave(|behaviour| behaviour.call = CallBehaviour::Answer);
     }
     assert_eq!(ask(&node, "after", "/calls/honest").await, 200);
 }
 
-/// An honest request that was running beside a harmful one is served, however often that happened.
+/// A harmless request that repeatedly ran on the same back end as a harmful one when it ended is still served.
 #[tokio::test]
 async fn a_request_beside_a_harmful_one_is_served() {
     let deployment = Deployment::start(0, 8).await;
     for backend in &deployment.applications {
-        backend.behave(|told| {
-            told.ends_on_path = Some(HARMFUL_PATH_PART.to_owned());
-            told.call = CallBehaviour::Silent;
+        backend.behave(|behaviour| {
+            behaviour.ends_on_path = Some(HARMFUL_PATH_PART.to_owned());
+            behaviour.call = CallBehaviour::Silent;
         });
     }
     let nodes = nodes(&deployment, &["a", "b"]).await;
-    let honest = (0..4).map(|number| {
+    let harmless_calls = (0..4).map(|number| {
         let address = nodes[number % 2].callers;
         tokio::spawn(async move {
             let id = format!("honest-{number}");
@@ -145,18 +143,18 @@
             answer.map(|answer| answer.status.as_u16())
         })
     });
-    let honest: Vec<_> = honest.collect();
+    let harmless_calls: Vec<_> = harmless_calls.collect();
     tokio::time::sleep(Duration::from_millis(50)).await;
     for (at, node) in nodes.iter().enumerate() {
         ask(node, &format!("try-{at}"), "/calls/harmful").await;
     }
-    for one in honest {
-        let _ = one.await.unwrap();
+    for harmless_call in harmless_calls {
+        let _ = harmless_call.await.unwrap();
     }
     for backend in &deployment.applications {
-        backend.behave(|told| told.call = CallBehaviour::Answer);
+        backend.behave(|behaviour| behaviour.call = CallBehaviour::Answer);
     }
-    tokio::time::sleep(LEARNING).await;
+    tokio::time::sleep(PROPAGATION_TIME).await;
     for number in 0..4 {
         let path = format!("/calls/honest-{number}");
         let status = ask(&nodes[number % 2], &format!("again-{number}"), &path).await;
@@ -164,12 +162,12 @@
     }
 }
 
-/// Back ends that leave in order, or are ended for other reasons while items run there, cost no item.
+/// Ends that items don't cause, for instance of back ends that are stopped while items run there, cost no item.
 #[tokio::test]
-async fn items_outlive_back_ends_that_end_one_after_the_other() {
+async fn items_survive_back_ends_that_end_one_after_the_other() {
     let deployment = Deployment::start(6, 0).await;
     for engine in &deployment.engines {
-        engine.behave(|told| told.event_pause = Duration::from_millis(250));
+        engine.behave(|behaviour| behaviour.event_pause = Duration::from_millis(250));
     }
     let node = deployment.node("a").await;
     let items: Vec<(String, String)> = (0..12)
@@ -208,16 +206,16 @@
     assert!(ended <= MAX_ENDS, "{ended} back ends ended");
 }
 
-/// A node that starts learns what others know before it can harm more back ends.
+/// A node that starts reads the known ends from the log before it sends requests to back ends.
 #[tokio::test]
-async fn a_node_that_starts_does_not_begin_at_zero() {
+async fn a_node_that_starts_knows_of_earlier_ends() {
     let deployment = Deployment::start(0, 8).await;
     end_on_harmful_requests(&deployment.applications);
     let mut first = deployment.node("a").await;
     for number in 0..2 {
         ask(&first, &format!("try-{number}"), "/calls/harmful").await;
     }
-    tokio::time::sleep(LEARNING).await;
+    tokio::time::sleep(PROPAGATION_TIME).await;
     first.kill();
     let before = count_ended(&deployment.applications);
     let second = deployment.node("b").await;
@@ -225,9 +223,10 @@
     assert_eq!(count_ended(&deployment.applications), before);
 }
 
-/// Without the log a node goes by what it saw itself, and tells the others when the log is back.
+/// While the log is unavailable to a node, the node decides by the ends that it saw itself. When the log is available
+/// again, the other nodes learn of these ends.
 #[tokio::test]
-async fn a_node_without_the_log_goes_by_its_own_sight() {
+async fn a_node_without_the_log_decides_by_the_ends_it_saw() {
     let deployment = Deployment::start(0, 8).await;
     end_on_harmful_requests(&deployment.applications);
     let nodes = nodes(&deployment, &["a", "b"]).await;
@@ -247,7 +246,7 @@
     assert_eq!(count_ended(&deployment.applications), before);
 }
 
-/// An operator lifts a wrong bar by the fingerprint that log lines name.
+/// An operator clears a request that is barred by mistake, by the fingerprint from the log lines.
 #[tokio::test]
 async fn a_bar_that_an_operator_lifts_is_lifted_at_all_nodes() {
     let deployment = Deployment::start(0, 8).await;
@@ -258,25 +257,25 @@
     }
     wait_for_ends_known_by_all(&nodes, &deployment.applications).await;
     for backend in &deployment.applications {
-        backend.behave(|told| told.ends_on_path = None);
+        backend.behave(|behaviour| behaviour.ends_on_path = None);
     }
     assert_eq!(ask(&nodes[1], "barred", "/calls/harmful").await, 502);
-    let kept = nodes[0]
+    let suspects = nodes[0]
         .context()
         .control
         .lock()
         .state
         .checkpoint(0)
         .crashes;
-    assert_eq!(kept.len(), 1, "{kept:?}");
+    assert_eq!(suspects.len(), 1, "{suspects:?}");
     let log = NodeLog::new(&deployment.log);
     let wrong = clear_request(log.as_ref(), 512, "no fingerprint").await;
     assert!(matches!(wrong, Err(ClearError::InvalidFingerprint(_))));
-    let fingerprint = kept[0].request.to_string();
+    let fingerprint = suspects[0].request.to_string();
     clear_request(log.as_ref(), 512, &fingerprint)
         .await
         .unwrap();
-    wait_until("nothing is held against it", || {
+    wait_until("the request is cleared at all nodes", || {
         let is_cleared = |node: &TestNode| node.context().control.lock().state.crashes().is_empty();
         nodes.iter().all(is_cleared)
     })
--- a/crates/gateway/tests/harmful_versions.rs
+++ b/crates/gateway/tests/harmful_versions.rs
@@ -1,11 +1,8 @@
-//! Symptom: all engines of a model end, one after the other and again in each next life.
+//! A version whose weights crash the engines that load them is not loaded by all engines of a model.
 //!
-//! Sequence: a trainer names a version whose weights end the process that loads them. The holder of the orders
-//! lease orders it from the next engine, and from the next life of each.
-//!
-//! Cause: an order that got no answer counted against its engine alone; nothing was kept of the version.
-//!
-//! What settled it: 8 of 8 engines ended within 6 s.
+//! The test guards against a holder of the order lease that orders such a version from one engine after the other and
+//! from each of their next incarnations. That happens if an order without an answer counts against the engine alone and
+//! not against the version: 8 of 8 engines ended within 6 s.
 
 mod support;
 
@@ -16,7 +13,8 @@
 use support::deployment::{Deployment, wait_until};
 use support::dialect::MODEL;
 
-/// Engines that may end under a version before it counts as harmful, and one that tries it then.
+/// Maximum number of engines that end: three before the version counts as harmful, and one that then loads it as a
+/// test.
 const MAX_ENDS: usize = 4;
 const HARMFUL_VERSION: u64 = 2;
 
@@ -35,7 +33,7 @@
 async fn a_version_that_ends_engines_is_not_ordered_from_all() {
     let deployment = Deployment::start(8, 0).await;
     for engine in &deployment.engines {
-        engine.behave(|told| told.ends_on_version = Some(HARMFUL_VERSION));
+        engine.behave(|behaviour| behaviour.ends_on_version = Some(HARMFUL_VERSION));
     }
     let _nodes = [deployment.node("a").await, deployment.node("b").await];
     name_version(&deployment, HARMFUL_VERSION);
@@ -45,11 +43,11 @@
     assert!(ended <= MAX_ENDS, "{ended} engines ended");
     name_version(&deployment, HARMFUL_VERSION + 1);
     wait_until("the others load the next version", || {
-        let mut living = deployment
+        let mut running_engines = deployment
             .engines
             .iter()
             .filter(|engine| !engine.has_ended());
-        living.all(|engine| {
+        running_engines.all(|engine| {
             let orders = engine.orders();
             orders.last().is_some_and(|order| order.contains(" 3 "))
         })
--- a/crates/gateway/tests/missed_ends.rs
+++ b/crates/gateway/tests/missed_ends.rs
@@ -1,16 +1,12 @@
-//! Symptom: a request that ends back ends was sent on although three had ended under it, as nodes had missed
-//! some of these ends or had taken one back.
+//! Nodes neither miss nor wrongly retract ends of back ends under a request.
 //!
-//! Sequence: a back end ends under a request, and (1) the caller leaves before its node has found that out, (2)
-//! the node stands still until a next life of the back end listens at the same address, or (3) another back end
-//! fails at the request with a status of 500 before it begins to run it.
-//!
-//! Cause: the search for evidence was part of the caller's call and ended with it; it looked only whether
-//! nobody listens at the address at that moment; and any whole answer cleared a request, also one that says
-//! that the back end failed.
-//!
-//! What settled it: all eight back ends ended under a request whose callers leave after 10 ms, and no
-//! line `send_broke` was written.
+//! The tests guard against a harmful request that is sent on although three back ends ended under it. A node could miss
+//! or retract an end when (1) the caller leaves before its node has detected the end, (2) the node is suspended until
+//! the next incarnation of the back end listens at the same address, or (3) another back end answers the request with
+//! status 500 before it begins to run it. So the detection must not stop with the caller's call, must not rely only on
+//! whether somebody listens at the address at that moment, and must not take an answer that reports a failure as
+//! evidence that the request is harmless. When it stopped with the call, all eight back ends ended under a request
+//! whose callers leave after 10 ms, without any `send_broke` log line.
 
 mod support;
 
@@ -28,12 +24,12 @@
 };
 use support::log::{LogFaults, NodeLog};
 
-/// Time after which a caller leaves: before its request has ended the back end.
-const LEAVES_AFTER: Duration = Duration::from_millis(10);
-/// Time from a caller's leave to the next try of its request.
-const NEXT_TRY: Duration = Duration::from_millis(300);
+/// Time after which a caller disconnects: before its request has ended the back end.
+const CALLER_LEAVES_AFTER: Duration = Duration::from_millis(10);
+/// Time from a caller's disconnect to the next try of its request.
+const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
-/// Asks nodes in turn for callers that leave soon, and answers how many back ends ended.
+/// Sends a harmful request to the nodes in turn, from callers that leave early, and returns how many back ends ended.
 async fn ends_under_callers_that_leave(
     backends: &[Arc<StandInBackend>],
     nodes: &[TestNode],
@@ -45,9 +41,9 @@
         let id = format!("try-{number}");
         let headers = [("x-id", id.as_str()), ("x-deadline", "2000")];
         let asked = send(address, Method::POST, path, &headers, "call");
-        // The connection closes with what is dropped here.
-        let _ = tokio::time::timeout(LEAVES_AFTER, asked).await;
-        tokio::time::sleep(NEXT_TRY).await;
+        // Dropping the future closes the connection.
+        let _ = tokio::time::timeout(CALLER_LEAVES_AFTER, asked).await;
+        tokio::time::sleep(RETRY_PAUSE).await;
     }
     count_ended(backends)
 }
@@ -70,9 +66,9 @@
     assert!(ended <= MAX_ENDS, "{ended} back ends ended");
 }
 
-/// While it is not known whether a back end ends under a send that was given up, no other copy is sent in its place.
+/// No other copy of a suspected request is sent until it is known whether the back end of a given-up send ended.
 #[tokio::test]
-async fn a_send_that_was_given_up_counts_until_it_is_known_what_came_of_it() {
+async fn a_send_that_was_given_up_counts_until_its_outcome_is_known() {
     let deployment = Deployment::start(0, 8).await;
     end_on_harmful_requests(&deployment.applications);
     let node = deployment.node("a").await;
@@ -89,16 +85,16 @@
         &headers,
         "call",
     );
-    let _ = tokio::time::timeout(LEAVES_AFTER, asked).await;
+    let _ = tokio::time::timeout(CALLER_LEAVES_AFTER, asked).await;
     call(node.callers, "next", "/once/harmful").await;
-    tokio::time::sleep(NEXT_TRY).await;
+    tokio::time::sleep(RETRY_PAUSE).await;
     assert_eq!(count_ended(&deployment.applications), MAX_ENDS);
 }
 
-/// Guards against the refusal of a call that waits for another copy of it, which was given up before a back end began it: it
-/// can be sent as soon as that is known.
+/// A call that waits for a given-up copy of the same request is not refused: if no back end ended under the copy, the
+/// call is sent as soon as that is known.
 #[tokio::test]
-async fn a_call_outwaits_a_copy_that_was_given_up_before_it_began() {
+async fn a_call_waits_for_the_outcome_of_a_copy_that_was_given_up() {
     let deployment = Deployment::start(0, 8).await;
     let backends = &deployment.applications;
     end_on_harmful_requests(backends);
@@ -108,9 +104,9 @@
         call(node.callers, &id, "/once/harmful").await;
     }
     for backend in backends {
-        backend.behave(|told| {
-            told.ends_on_path = None;
-            told.call = CallBehaviour::Silent;
+        backend.behave(|behaviour| {
+            behaviour.ends_on_path = None;
+            behaviour.call = CallBehaviour::Silent;
         });
     }
     let headers = [("x-id", "leaves"), ("x-deadline", "2000")];
@@ -121,17 +117,17 @@
         &headers,
         "call",
     );
-    let _ = tokio::time::timeout(NEXT_TRY, asked).await;
+    let _ = tokio::time::timeout(RETRY_PAUSE, asked).await;
     for backend in backends {
-        backend.behave(|told| told.call = CallBehaviour::Answer);
+        backend.behave(|behaviour| behaviour.call = CallBehaviour::Answer);
     }
     let answer = call(node.callers, "next", "/once/harmful").await;
     assert_eq!(answer.status, 200);
 }
 
-/// The node learns of the end only when somebody else listens at the address.
+/// A node that is suspended while a back end ends finds another incarnation listening at the address.
 #[tokio::test]
-async fn an_end_that_a_node_slept_through_counts() {
+async fn an_end_while_the_node_is_suspended_counts() {
     let deployment = Deployment::start(0, 1).await;
     end_on_harmful_requests(&deployment.applications);
     let node = deployment.node("a").await;
@@ -140,21 +136,21 @@
     let asked = tokio::spawn(async move {
         call(address, "harmful", "/calls/harmful").await;
     });
-    wait_until("it runs", || !former.seen().is_empty()).await;
+    wait_until("the request runs", || !former.seen().is_empty()).await;
     node.hold(Duration::from_millis(600)).await;
     wait_until("the address is free", || {
         former.has_ended() && std::net::TcpListener::bind(former.address).is_ok()
     })
     .await;
     let next = StandInBackend::start_at("next", former.address).await;
-    next.behave(|told| told.call = CallBehaviour::NotRun);
-    let is_listed = listed(&next, APPLICATIONS, false);
-    deployment.log.write_backends(is_listed);
+    next.behave(|behaviour| behaviour.call = CallBehaviour::NotRun);
+    let next_entry = listed(&next, APPLICATIONS, false);
+    deployment.log.write_backends(next_entry);
     asked.await.unwrap();
     wait_until("the end is known", || count_known_ends(&node) == 1).await;
 }
 
-/// A back end that fails at a request may not have begun to run it.
+/// A back end that answers a request with a failure may not have begun to run it.
 #[tokio::test]
 async fn a_failure_of_a_back_end_clears_no_request() {
     let deployment = Deployment::start(0, 8).await;
@@ -164,9 +160,9 @@
         let id = format!("harmful-{round}");
         call(node.callers, &id, "/once/harmful").await;
         for backend in &deployment.applications {
-            backend.behave(|told| {
-                told.ends_on_path = None;
-                told.call = CallBehaviour::Fail;
+            backend.behave(|behaviour| {
+                behaviour.ends_on_path = None;
+                behaviour.call = CallBehaviour::Fail;
             });
         }
         let id = format!("failed-{round}");
@@ -176,13 +172,14 @@
     assert!(ended <= MAX_ENDS, "{ended} back ends ended");
 }
 
-/// A process that ends does not close everything at the same moment.
+/// A process that ends does not close all its sockets at the same moment: here its address still accepts connections
+/// for 5 ms.
 #[tokio::test]
 async fn an_address_that_is_open_for_a_moment_hides_no_end() {
     let deployment = Deployment::start(0, 8).await;
     end_on_harmful_requests(&deployment.applications);
     for backend in &deployment.applications {
-        backend.behave(|told| told.listen_time_after_end = Duration::from_millis(5));
+        backend.behave(|behaviour| behaviour.listen_time_after_end = Duration::from_millis(5));
     }
     let node = deployment.node("a").await;
     for number in 0..MAX_ENDS {
@@ -193,12 +190,12 @@
     assert!(ended <= MAX_ENDS, "{ended} back ends ended");
 }
 
-/// A back end that says that it leaves while it is watched, and ends then, ended under nobody.
+/// The end of a back end that announced its leave while it was watched after a given-up send counts against no request.
 #[tokio::test]
-async fn a_back_end_that_leaves_in_order_is_held_against_no_request() {
+async fn an_announced_end_counts_against_no_request() {
     let deployment = Deployment::start(0, 1).await;
     let former = deployment.applications[0].clone();
-    former.behave(|told| told.call = CallBehaviour::Silent);
+    former.behave(|behaviour| behaviour.call = CallBehaviour::Silent);
     let node = deployment.node("a").await;
     let headers = [("x-id", "leaves"), ("x-deadline", "2000")];
     let asked = send(
@@ -208,7 +205,7 @@
         &headers,
         "call",
     );
-    let _ = tokio::time::timeout(LEAVES_AFTER, asked).await;
+    let _ = tokio::time::timeout(CALLER_LEAVES_AFTER, asked).await;
     deployment
         .log
         .write_backends(listed(&former, APPLICATIONS, true));
@@ -231,63 +228,68 @@
     assert_eq!(count_known_ends(&node), 0);
 }
 
-/// The node that saw three back ends end under a request cannot write that down, and dies with it: the others know
-/// nothing, and three more back ends end. Seen in the soak, seed 1002 with 12 s.
+/// A node sees three back ends end under a request, cannot append that to the log, and crashes. If no peer knew of the
+/// ends, three more back ends would end, as in the soak with seed 1002 and 12 s.
 #[tokio::test]
 async fn ends_are_known_though_the_node_that_saw_them_dies_before_it_can_write() {
     let deployment = Deployment::start(0, 8).await;
     let backends = &deployment.applications;
     end_on_harmful_requests(backends);
-    let (mut sees, other) = (deployment.node("a").await, deployment.node("b").await);
-    sees.set_faults(LogFaults {
+    let (mut observer, other) = (deployment.node("a").await, deployment.node("b").await);
+    observer.set_faults(LogFaults {
         refuses_appends: true,
         ..LogFaults::default()
     });
     for number in 0..3 * MAX_ENDS {
-        call(sees.callers, &format!("first-{number}"), "/calls/harmful").await;
+        call(
+            observer.callers,
+            &format!("first-{number}"),
+            "/calls/harmful",
+        )
+        .await;
     }
     assert_eq!(count_ended(backends), MAX_ENDS);
-    sees.kill();
+    observer.kill();
     for number in 0..3 * MAX_ENDS {
         call(other.callers, &format!("next-{number}"), "/calls/harmful").await;
     }
     assert_eq!(count_ended(backends), MAX_ENDS);
 }
 
-/// Guards against the same soon after a start, with sends that began before the first end: no machine had told its address
-/// yet, and three more back ends ended. Seen in the soak, seed 9114.
+/// Like the test above, but soon after the start of the nodes and with sends that began before the first end. If no
+/// machine had announced its address yet, three more back ends would end, as in the soak with seed 9114.
 #[tokio::test]
 async fn ends_are_known_though_the_node_that_saw_them_dies_soon_after_its_start() {
     let deployment = Deployment::start(0, 8).await;
     let backends = &deployment.applications;
     end_on_harmful_requests(backends);
-    let (mut sees, other) = (
+    let (mut observer, other) = (
         late_announcer(&deployment, 0).await,
         late_announcer(&deployment, 1).await,
     );
-    tokio::time::sleep(FIRST_SECONDS).await;
-    sees.set_faults(LogFaults {
+    tokio::time::sleep(ANNOUNCED_AFTER).await;
+    observer.set_faults(LogFaults {
         refuses_appends: true,
         ..LogFaults::default()
     });
     let calls = (0..MAX_ENDS).map(|number| {
-        let address = sees.callers;
+        let address = observer.callers;
         async move { call(address, &format!("first-{number}"), "/once/harmful").await }
     });
     futures::future::join_all(calls).await;
     assert_eq!(count_ended(backends), MAX_ENDS);
-    sees.kill();
+    observer.kill();
     for number in 0..3 * MAX_ENDS {
         call(other.callers, &format!("next-{number}"), "/once/harmful").await;
     }
     assert_eq!(count_ended(backends), MAX_ENDS);
 }
 
-/// Time after its start in which a node of a small fleet has told its address.
-const FIRST_SECONDS: Duration = Duration::from_secs(4);
+/// Time after its start by which a node of a small fleet has announced its address.
+const ANNOUNCED_AFTER: Duration = Duration::from_secs(4);
 
-/// A node with the usual settings whose name has it wait for longer than that before it announces itself, if it does not
-/// find the fleet small.
+/// Starts a node whose announce delay, which depends on its name, is longer than [`ANNOUNCED_AFTER`]. It announces
+/// itself earlier if it finds that the fleet is small.
 async fn late_announcer(deployment: &Deployment, number: usize) -> TestNode {
     let settings = |name: &str| {
         let mut settings = settings(name);
@@ -295,20 +297,22 @@
         settings
     };
     let names = (0..).map(|at| format!("late-{at}"));
-    let mut late = names.filter(|name| {
+    let mut late_names = names.filter(|name| {
         let delay = settings(name).announce_delay(&name.as_str().into());
-        delay > 2 * FIRST_SECONDS
+        delay > 2 * ANNOUNCED_AFTER
     });
-    let name = late.nth(number).expect("one of endless names");
+    let name = late_names
+        .nth(number)
+        .expect("some name has a long announce delay");
     let node = TestNode::start_so(NodeLog::new(&deployment.log), settings(&name)).await;
     node.knows(deployment.applications.len()).await;
     node
 }
 
-/// Nobody can be told: neither does the log take the word, nor is another node there. What would be lost with this node
-/// stays below what bars a request, and its callers have their answers.
+/// A node can report ends to nobody: the log refuses appends, and there is no other node. It holds the request back
+/// before as many ends are unreported as bar a request, and its callers still get answers.
 #[tokio::test]
-async fn a_request_is_not_sent_on_while_its_ends_cannot_be_told() {
+async fn a_request_is_held_back_while_its_ends_cannot_be_reported() {
     let deployment = Deployment::start(0, 8).await;
     let backends = &deployment.applications;
     end_on_harmful_requests(backends);
@@ -337,12 +341,13 @@
     assert_eq!(count_ended(backends), MAX_ENDS);
 }
 
-/// Calls of which one is sent first to the back end that ends.
-const MOST_CALLS: usize = 200;
+/// Number of different calls, enough that one of them is sent first to the back end that ends.
+const MAX_CALLS: usize = 200;
 
-/// A back end that ends under an honest call, while nobody can be told, costs its caller nothing.
+/// A call is retried after one back end ended under it, although the end cannot be reported, so that its caller gets an
+/// answer.
 #[tokio::test]
-async fn a_call_is_sent_again_after_an_end_that_cannot_be_told() {
+async fn a_call_is_sent_again_after_an_end_that_cannot_be_reported() {
     let deployment = Deployment::start(0, 4).await;
     let backends = &deployment.applications;
     let node = deployment.node("a").await;
@@ -354,7 +359,7 @@
         refuses_appends: true,
         ..LogFaults::default()
     });
-    for number in 0..MOST_CALLS {
+    for number in 0..MAX_CALLS {
         let path = format!("/calls/harmful-{number}");
         let answer = call(node.callers, &format!("first-{number}"), &path).await;
         assert_eq!(answer.status, 200);
@@ -365,9 +370,9 @@
     panic!("none of the calls was sent to the back end that ends");
 }
 
-/// An item waits as a call does, and is run on when its ends are told.
+/// An item is held back like a call, and runs again when the ends under it are reported.
 #[tokio::test]
-async fn an_item_is_not_run_on_while_its_ends_cannot_be_told() {
+async fn an_item_is_held_back_while_its_ends_cannot_be_reported() {
     let deployment = Deployment::start(8, 0).await;
     let engines = &deployment.engines;
     let node = deployment.node("a").await;
@@ -386,7 +391,7 @@
         count_ended(engines)
     );
     for engine in engines {
-        engine.behave(|told| told.ends_on_path = None);
+        engine.behave(|behaviour| behaviour.ends_on_path = None);
     }
     node.set_faults(LogFaults::default());
     let lines = wait_for_results(node.callers, "batch", items.len()).await;
@@ -396,13 +401,13 @@
     );
 }
 
-/// Bytes that no node sent cost nothing but a line.
+/// Datagrams that are not notices of a node are ignored, except for a log line each.
 #[tokio::test]
-async fn datagrams_from_elsewhere_change_nothing() {
+async fn datagrams_from_strangers_change_nothing() {
     let deployment = Deployment::start(0, 8).await;
     end_on_harmful_requests(&deployment.applications);
-    let (mut sees, other) = (deployment.node("a").await, deployment.node("b").await);
-    let address = reachable_at(&other).await;
+    let (mut observer, other) = (deployment.node("a").await, deployment.node("b").await);
+    let address = announced_address(&other).await;
     let stranger = tokio::net::UdpSocket::bind("127.0.0.1:0").await.unwrap();
     for bytes in [
         &b""[..],
@@ -412,24 +417,24 @@
     ] {
         stranger.send_to(bytes, address).await.unwrap();
     }
-    sees.set_faults(LogFaults {
+    observer.set_faults(LogFaults {
         refuses_appends: true,
         ..LogFaults::default()
     });
-    call(sees.callers, "harmful", "/calls/harmful").await;
+    call(observer.callers, "harmful", "/calls/harmful").await;
     let before = count_ended(&deployment.applications);
-    sees.kill();
+    observer.kill();
     assert_eq!(count_known_ends(&other), before);
 }
 
-/// Where a node takes datagrams, once it has said so.
-async fn reachable_at(node: &TestNode) -> std::net::SocketAddr {
+/// Waits until a node has announced its address for datagrams, and returns it.
+async fn announced_address(node: &TestNode) -> std::net::SocketAddr {
     let machine = node.context().node.machine.clone();
-    let known = || {
+    let announced = || {
         let control = node.context().control.lock();
         let addresses = control.state.reachable().checkpoint();
         addresses.get(&machine).copied()
     };
-    wait_until("its address is told", || known().is_some()).await;
-    known().unwrap()
+    wait_until("its address is announced", || announced().is_some()).await;
+    announced().unwrap()
 }
--- a/crates/gateway/tests/support/backend.rs
+++ b/crates/gateway/tests/support/backend.rs
@@ -1,4 +1,4 @@
-//! A back end on loopback that does as it is told and remembers what it was asked.
+//! A back end on loopback with configurable behaviour that records the requests it receives.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -22,68 +22,72 @@
 
 type Body = UnsyncBoxBody<Bytes, std::io::Error>;
 
-/// Events of each item's output, if nothing else is told.
+/// Default number of events of each item's output.
 pub const EVENTS: u32 = 4;
 
-/// Time from the start of a run that ends the process to its end.
-const TIME_TO_END: Duration = Duration::from_millis(20);
+/// Time from the start of a harmful run to the end of the process.
+const END_DELAY: Duration = Duration::from_millis(20);
 
 /// How a back end behaves.
 #[derive(Debug, Clone)]
 pub struct Behaviour {
-    /// Version of the weights.
+    /// Version of the weights that it serves.
     pub version: u64,
     /// Pause before each event.
     pub event_pause: Duration,
-    /// The connection breaks after so many events of a run.
+    /// Number of events after which the connection of a run breaks; never if `None`.
     pub breaks_after: Option<u32>,
-    /// Events of each item's output.
+    /// Number of events of each item's output.
     pub events: u32,
-    /// Bytes that the data of each event is longer by.
+    /// Number of bytes appended to the data of each event.
     pub event_padding: usize,
-    /// Orders are refused.
+    /// Whether it refuses orders.
     pub refuses_orders: bool,
-    /// Answer to calls.
+    /// How it answers calls.
     pub call: CallBehaviour,
-    /// Time that a call takes.
+    /// Time that a call takes before it is answered.
     pub call_time: Duration,
-    /// Calls that it works at together; it turns away more. Any number without it.
+    /// Maximum number of concurrent calls; further calls are rejected as not run. Unlimited if `None`.
     pub slots: Option<usize>,
-    /// Its process ends a moment after it begins to work at a request whose path contains this, also if its
-    /// caller has left by then.
+    /// Text in the path of a request that ends the process shortly after the run begins, also if the caller has left by
+    /// then.
     pub ends_on_path: Option<String>,
-    /// Its process ends a moment after it begins to load this version.
+    /// Version that ends the process shortly after its load begins.
     pub ends_on_version: Option<u64>,
-    /// Time that a load of weights takes, in which streams pause.
+    /// Time that a load of weights takes. Streams pause meanwhile.
     pub load_time: Duration,
-    /// Time for which a process that ends still listens after its connections closed.
+    /// Time for which a process that ends still listens after it closed its connections.
     pub listen_time_after_end: Duration,
 }
 
+/// How a back end answers calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallBehaviour {
+    /// With success.
     Answer,
+    /// With status 503 and the header that says that the call was not run.
     NotRun,
+    /// With status 500.
     Fail,
-    /// It says that it ran out of time.
+    /// With status 504: it ran out of time.
     OutOfTime,
-    /// The connection closes after the request was read.
+    /// The connection closes without an answer after the request was read.
     Break,
-    /// The answer names another request.
+    /// The answer carries the id of another request.
     ForeignAnswer,
-    /// The answer ends before its told length.
+    /// The connection breaks in the middle of the answer's body.
     CutShort,
-    /// No answer comes.
+    /// The call gets no answer until the test breaks its connection.
     Silent,
 }
 
-/// A request as the back end saw it.
+/// A request as the back end received it.
 #[derive(Debug, Clone)]
 pub struct ReceivedRequest {
     pub path: String,
     pub headers: HeaderMap,
     pub body: Bytes,
-    /// When it came.
+    /// When it was received.
     pub at: Instant,
 }
 
@@ -93,13 +97,13 @@
     }
 }
 
-/// A back end.
+/// A back end for tests.
 pub struct StandInBackend {
     pub id: String,
     pub address: SocketAddr,
     behaviour: Mutex<Behaviour>,
     seen: Mutex<Vec<ReceivedRequest>>,
-    loads_until: Mutex<Option<Instant>>,
+    loading_until: Mutex<Option<Instant>>,
     orders: Mutex<Vec<(String, Instant)>>,
     in_flight: Arc<AtomicUsize>,
     rejected_calls: AtomicUsize,
@@ -107,7 +111,7 @@
     ended: watch::Sender<bool>,
 }
 
-/// Counts a request as under way until its answer is sent or its connection is gone.
+/// Counts a request as in flight until its answer is sent or its connection is closed.
 struct InFlight(Arc<AtomicUsize>);
 
 impl InFlight {
@@ -128,7 +132,7 @@
         Self::start_at(id, "127.0.0.1:0".parse().unwrap()).await
     }
 
-    /// Starts one at an address, which a former one may have had.
+    /// Starts a back end at an address, for instance that of one that has ended.
     pub async fn start_at(id: &str, address: SocketAddr) -> Arc<Self> {
         let listener = TcpListener::bind(address).await.unwrap();
         let behaviour = Behaviour {
@@ -151,7 +155,7 @@
             address: listener.local_addr().unwrap(),
             behaviour: Mutex::new(behaviour),
             seen: Mutex::default(),
-            loads_until: Mutex::default(),
+            loading_until: Mutex::default(),
             orders: Mutex::default(),
             in_flight: Arc::default(),
             rejected_calls: AtomicUsize::new(0),
@@ -166,22 +170,22 @@
         change(&mut self.behaviour.lock().unwrap());
     }
 
-    /// Requests for calls and items, in the order they came.
+    /// Requests for calls and items, in the order in which they were received.
     pub fn seen(&self) -> Vec<ReceivedRequest> {
         self.seen.lock().unwrap().clone()
     }
 
-    /// Requests for calls and items that it works at now. It drops one whose connection closes.
+    /// Number of requests for calls and items that it is running. It drops a request whose connection closes.
     pub fn in_flight(&self) -> usize {
         self.in_flight.load(Ordering::Relaxed)
     }
 
-    /// Calls for which it had no place.
+    /// Number of calls that it rejected because all slots were in use.
     pub fn rejected_calls(&self) -> usize {
         self.rejected_calls.load(Ordering::Relaxed)
     }
 
-    /// Breaks the connections of calls that get no answer.
+    /// Breaks the connections of all [`CallBehaviour::Silent`] calls.
     pub fn break_connections(&self) {
         self.breaks.notify_waiters();
     }
@@ -196,19 +200,19 @@
         *self.ended.borrow()
     }
 
-    /// Orders, in the order they came, as `model version holder fence`.
+    /// Orders in the order in which they were received, each as `model version holder fence`.
     pub fn orders(&self) -> Vec<String> {
         let orders = self.orders.lock().unwrap();
         orders.iter().map(|(order, _)| order.clone()).collect()
     }
 
-    /// When each order came.
+    /// When each order was received.
     pub fn order_times(&self) -> Vec<Instant> {
         let orders = self.orders.lock().unwrap();
         orders.iter().map(|(_, at)| *at).collect()
     }
 
-    /// How often each item was sent here.
+    /// How often each item was sent to this back end, by path.
     pub fn runs(&self) -> HashMap<String, usize> {
         let mut runs = HashMap::new();
         for seen in self
@@ -221,18 +225,18 @@
         runs
     }
 
-    /// Loads weights.
+    /// Simulates a load of weights: streams pause for its duration.
     async fn load(&self) {
         let load_time = self.behaviour().load_time;
         if load_time.is_zero() {
             return;
         }
-        *self.loads_until.lock().unwrap() = Some(Instant::now() + load_time);
+        *self.loading_until.lock().unwrap() = Some(Instant::now() + load_time);
         tokio::time::sleep(load_time).await;
     }
 
-    async fn until_loaded(&self) {
-        let until = *self.loads_until.lock().unwrap();
+    async fn wait_until_loaded(&self) {
+        let until = *self.loading_until.lock().unwrap();
         if let Some(until) = until {
             havenstage_clock::sleep_until(until).await;
         }
@@ -245,7 +249,7 @@
 
 async fn serve(backend: Arc<StandInBackend>, listener: TcpListener) {
     let mut ended = backend.ended.subscribe();
-    // Dropped with all connections when the process ends.
+    // All connections close when the simulated process ends.
     let mut connections = JoinSet::new();
     loop {
         let stream = tokio::select! {
@@ -286,9 +290,9 @@
     let body = body.collect().await.map_err(|_| Broken)?.to_bytes();
     let path = head.uri.path().to_owned();
     match path.as_str() {
-        "/order" => return Ok(take_order(&backend, &body).await),
+        "/order" => return Ok(handle_order(&backend, &body).await),
         "/report" => {
-            return Ok(whole(
+            return Ok(full_response(
                 StatusCode::OK,
                 backend.behaviour().version.to_string(),
             ));
@@ -300,78 +304,82 @@
         .get("x-expected")
         .and_then(|value| value.to_str().ok());
     if expected.is_some_and(|expected| expected != backend.id) {
-        return Ok(whole(StatusCode::MISDIRECTED_REQUEST, String::new()));
+        return Ok(full_response(
+            StatusCode::MISDIRECTED_REQUEST,
+            String::new(),
+        ));
     }
-    let seen = ReceivedRequest {
+    let received = ReceivedRequest {
         path: path.clone(),
         headers: head.headers,
         body,
         at: Instant::now(),
     };
     let in_flight = InFlight::new(&backend.in_flight);
-    backend.seen.lock().unwrap().push(seen.clone());
+    backend.seen.lock().unwrap().push(received.clone());
     let ends_on_path = backend.behaviour().ends_on_path;
     if ends_on_path.is_some_and(|fragment| path.contains(&fragment)) {
-        // Not dropped with the connection: what ends a process does not ask whether anybody waits.
+        // A separate task, so that the process ends even if the caller closes the connection.
         let ending = backend.clone();
         tokio::spawn(async move {
-            tokio::time::sleep(TIME_TO_END).await;
+            tokio::time::sleep(END_DELAY).await;
             ending.end();
         });
         std::future::pending::<()>().await;
     }
     if path.starts_with("/items/") || path.starts_with("/streams/") {
-        return Ok(run_item(&backend, &seen, in_flight));
+        return Ok(run_item(&backend, &received, in_flight));
     }
-    run_call(&backend, &seen).await
+    run_call(&backend, &received).await
 }
 
-/// Ends a process a moment later. Not dropped with a connection: what ends a process does not ask whether
-/// anybody waits.
-fn end_soon(backend: &Arc<StandInBackend>) {
+/// Ends the process after [`END_DELAY`], in a separate task, so that it ends even if the caller closes the connection.
+fn end_after_delay(backend: &Arc<StandInBackend>) {
     let backend = backend.clone();
     tokio::spawn(async move {
-        tokio::time::sleep(TIME_TO_END).await;
+        tokio::time::sleep(END_DELAY).await;
         backend.end();
     });
 }
 
-async fn take_order(backend: &Arc<StandInBackend>, body: &Bytes) -> Response<Body> {
+async fn handle_order(backend: &Arc<StandInBackend>, body: &Bytes) -> Response<Body> {
     if backend.behaviour().refuses_orders {
-        return whole(StatusCode::CONFLICT, String::new());
+        return full_response(StatusCode::CONFLICT, String::new());
     }
     let order = String::from_utf8(body.to_vec()).unwrap();
     let version: u64 = order.split(' ').nth(1).unwrap().parse().unwrap();
     if backend.behaviour().ends_on_version == Some(version) {
         backend.orders.lock().unwrap().push((order, Instant::now()));
-        end_soon(backend);
-        return whole(StatusCode::ACCEPTED, String::new());
+        end_after_delay(backend);
+        return full_response(StatusCode::ACCEPTED, String::new());
     }
     backend.orders.lock().unwrap().push((order, Instant::now()));
     backend.load().await;
     backend.behave(|behaviour| behaviour.version = version);
-    whole(StatusCode::OK, String::new())
+    full_response(StatusCode::OK, String::new())
 }
 
 async fn run_call(
     backend: &StandInBackend,
-    seen: &ReceivedRequest,
+    received: &ReceivedRequest,
 ) -> Result<Response<Body>, Broken> {
-    let told = backend.behaviour();
-    let is_full = told.slots.is_some_and(|slots| backend.in_flight() > slots);
+    let configured = backend.behaviour();
+    let is_full = configured
+        .slots
+        .is_some_and(|slots| backend.in_flight() > slots);
     let behaviour = match is_full {
         true => CallBehaviour::NotRun,
-        false => told.call,
+        false => configured.call,
     };
     if is_full {
         backend.rejected_calls.fetch_add(1, Ordering::Relaxed);
     } else {
-        tokio::time::sleep(told.call_time).await;
+        tokio::time::sleep(configured.call_time).await;
     }
     let text = format!(
         "{} answers {}",
         backend.id,
-        seen.header("x-id").unwrap_or_default()
+        received.header("x-id").unwrap_or_default()
     );
     let mut response = match behaviour {
         CallBehaviour::Break => return Err(Broken),
@@ -379,11 +387,11 @@
             backend.breaks.notified().await;
             return Err(Broken);
         }
-        CallBehaviour::NotRun => whole(StatusCode::SERVICE_UNAVAILABLE, String::new()),
-        CallBehaviour::Fail => whole(StatusCode::INTERNAL_SERVER_ERROR, text),
-        CallBehaviour::OutOfTime => whole(StatusCode::GATEWAY_TIMEOUT, text),
-        CallBehaviour::CutShort => cut_short(),
-        CallBehaviour::Answer | CallBehaviour::ForeignAnswer => whole(StatusCode::OK, text),
+        CallBehaviour::NotRun => full_response(StatusCode::SERVICE_UNAVAILABLE, String::new()),
+        CallBehaviour::Fail => full_response(StatusCode::INTERNAL_SERVER_ERROR, text),
+        CallBehaviour::OutOfTime => full_response(StatusCode::GATEWAY_TIMEOUT, text),
+        CallBehaviour::CutShort => truncated_response(),
+        CallBehaviour::Answer | CallBehaviour::ForeignAnswer => full_response(StatusCode::OK, text),
     };
     let headers = response.headers_mut();
     match behaviour {
@@ -394,7 +402,7 @@
             headers.insert("x-id", "another".parse().unwrap());
         }
         _ => {
-            headers.insert("x-id", seen.headers["x-id"].clone());
+            headers.insert("x-id", received.headers["x-id"].clone());
         }
     }
     headers.insert(
@@ -405,7 +413,7 @@
     Ok(response)
 }
 
-fn cut_short() -> Response<Body> {
+fn truncated_response() -> Response<Body> {
     let parts = [
         Ok(Frame::data(Bytes::from_static(b"half"))),
         Err(std::io::Error::other("cut short")),
@@ -413,15 +421,21 @@
     Response::new(StreamBody::new(stream::iter(parts)).boxed_unsync())
 }
 
-/// Each event's data names the item and the event, so that gaps and repetitions show.
+/// Streams an item's events. Each event's data contains the item and the event number, so that a test can detect gaps
+/// and duplicates.
 fn run_item(
     backend: &Arc<StandInBackend>,
-    seen: &ReceivedRequest,
+    received: &ReceivedRequest,
     in_flight: InFlight,
 ) -> Response<Body> {
     let behaviour = backend.behaviour();
-    let item = seen.path.rsplit('/').next().unwrap_or_default().to_owned();
-    let from: u32 = seen
+    let item = received
+        .path
+        .rsplit('/')
+        .next()
+        .unwrap_or_default()
+        .to_owned();
+    let from: u32 = received
         .header("last-event-id")
         .and_then(|id| id.parse().ok())
         .unwrap_or(0);
@@ -434,7 +448,7 @@
         let (item, backend, padding) = (item.clone(), backend.clone(), padding.clone());
         async move {
             if breaks_after.is_some_and(|count| at - from >= count) {
-                // Lets the events before it reach the reader.
+                // The pause lets the earlier events reach the reader.
                 tokio::time::sleep(Duration::from_millis(20)).await;
                 return Some((Err(std::io::Error::other("broken off")), (events, version)));
             }
@@ -442,7 +456,7 @@
                 return None;
             }
             tokio::time::sleep(pause).await;
-            backend.until_loaded().await;
+            backend.wait_until_loaded().await;
             let now_version = backend.behaviour().version;
             let change = match now_version == version {
                 true => String::new(),
@@ -458,7 +472,7 @@
     });
     let mut response = Response::new(StreamBody::new(frames).boxed_unsync());
     let headers = response.headers_mut();
-    headers.insert("x-id", seen.headers["x-id"].clone());
+    headers.insert("x-id", received.headers["x-id"].clone());
     if from < events {
         headers.insert("x-version", behaviour.version.into());
     }
@@ -467,7 +481,7 @@
     response
 }
 
-fn whole(status: StatusCode, text: String) -> Response<Body> {
+fn full_response(status: StatusCode, text: String) -> Response<Body> {
     let body = Full::new(Bytes::from(text))
         .map_err(|never| match never {})
         .boxed_unsync();
--- a/crates/gateway/tests/support/dialect.rs
+++ b/crates/gateway/tests/support/dialect.rs
@@ -1,4 +1,4 @@
-//! A dialect of the tests' own: short names, lines instead of documents.
+//! The HTTP dialect of the tests: short header names, and lines of text instead of JSON documents.
 
 use std::sync::Arc;
 
@@ -41,11 +41,12 @@
     }
 }
 
-/// Path of reward calls, and what stands for it where an item has none.
+/// Path of reward calls.
 const REWARD_PATH: &str = "/calls/reward";
+/// Written instead of the path for an item without a reward call.
 const NO_REWARD: &str = "-";
 
-/// A batch is written as `minimum version`, then a line `item group tokens reward path` for each item.
+/// Writes a batch: a line with the minimum version, then a line `item group tokens reward-path` for each item.
 pub fn write_batch(minimum_version: u64, items: &[(&str, &str)], has_reward: bool) -> String {
     let reward_path = match has_reward {
         true => REWARD_PATH,
@@ -54,7 +55,7 @@
     write_batch_with_rewards(minimum_version, items, reward_path)
 }
 
-/// The same, with reward calls to a path.
+/// Like [`write_batch`], with reward calls of all items to `reward_path`.
 pub fn write_batch_with_rewards(
     minimum_version: u64,
     items: &[(&str, &str)],
@@ -151,7 +152,7 @@
         result.text().len()
     }
 
-    /// `total next`, then a line `item|state|text|versions|score` for each result.
+    /// Writes a line `total next`, then a line `item|state|text|versions|score` for each result.
     fn write_results(&self, page: &ResultPage<'_>) -> Bytes {
         let mut text = format!("{} {}\n", page.total, page.next);
         for (item, result) in &page.results {
