--- a/crates/gateway/src/crash_guard.rs
+++ b/crates/gateway/src/crash_guard.rs
@@ -215,7 +215,7 @@
 ) {
     let waiting = context.crash_guard.waiting_records.load(Ordering::Relaxed);
     let suspicion = suspicion(context, request);
-    metrics::untold_request_given_up();
+    metrics::unreported_request_given_up();
     info!(event = "request_given_up_as_its_ends_are_untold", request = id,
         content = request.to_string().as_str(), suspicion = format!("{suspicion:?}").as_str(),
         words_waiting = waiting, contact_age_ms = context.contact_age(); "");
@@ -231,7 +231,7 @@
         return;
     };
     drop(control);
-    metrics::barred_request_came();
+    metrics::barred_request_received();
     info!(event = "request_refused_as_barred", request = id, content = request.to_string().as_str(),
         ended = describe_ended_backends(&ended).as_str(), last_end_age_ms = age_ms; "");
 }
@@ -472,7 +472,7 @@
             recipient = peer_notices::report_end(&context, request, &ended) => {
                 info!(event = "end_told_to_peer", content = request.to_string().as_str(),
                     backend = ended.backend.as_str(), peer = recipient.to_string().as_str(); "");
-                metrics::crash_told("to_peer");
+                metrics::crash_reported("to_peer");
             }
         }
         context
@@ -493,7 +493,7 @@
     if waiting_records.fetch_add(1, Ordering::Relaxed) >= MAX_WAITING_RECORDS {
         waiting_records.fetch_sub(1, Ordering::Relaxed);
         warn!(event = "crash_not_told", record = format!("{record:?}").as_str(), waiting = MAX_WAITING_RECORDS; "");
-        metrics::crash_told("dropped");
+        metrics::crash_reported("dropped");
         return None;
     }
     let (state_sender, append_state) = watch::channel(AppendState::FirstTry);
@@ -503,10 +503,10 @@
             state_sender.send_replace(AppendState::Retrying);
             warn!(event = "crash_not_told_yet", record = format!("{record:?}").as_str(),
                 reason = error.to_string().as_str(); "");
-            metrics::crash_told("failed");
+            metrics::crash_reported("failed");
             tokio::time::sleep(APPEND_RETRY_PAUSE).await;
         }
-        metrics::crash_told("written");
+        metrics::crash_reported("written");
         context
             .crash_guard
             .waiting_records
--- a/crates/gateway/src/engine/run.rs
+++ b/crates/gateway/src/engine/run.rs
@@ -1,4 +1,4 @@
-//! One run of an item on a back end.
+//! One run of an item on a back end: sends the request and reads the stream of output events.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,72 +26,72 @@
 use crate::fingerprint;
 use crate::send;
 
-/// Longest time for the head of an answer.
+/// Maximum time until the head of a response arrives.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// Longest time without an event.
+/// Maximum time between two pieces of a response body.
 const EVENT_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// Events after which a run that breaks off is not held against its item: the back end ran it well for so
-/// long, and the next run goes on behind them.
-const EVENTS_OF_A_SOUND_RUN: u32 = 3;
+/// Number of events from which on a broken run is no evidence that its item crashes back ends: the back end
+/// ran the item well until then, and the next run continues after these events.
+const MIN_EVENTS_OF_HEALTHY_RUN: u32 = 3;
 
-/// An item of a batch.
+/// Identifies an item of a batch.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ItemKey {
-    /// Batch.
+    /// The batch that the item belongs to.
     pub batch: BatchId,
-    /// Item.
+    /// Id of the item, which is also the request id that back ends receive.
     pub item: ItemId,
 }
 
-/// What a run tells the engine.
+/// A message from the task of a run, or of the reward call after it, to the engine.
 #[derive(Debug)]
 pub struct RunMessage {
-    /// The item.
+    /// The item that the run is for.
     pub key: ItemKey,
-    /// The run.
+    /// The run; the engine ignores messages of runs that are not the item's current one.
     pub run: RunId,
-    /// What happened.
-    pub news: RunNews,
+    /// The event that the message reports.
+    pub update: RunUpdate,
 }
 
-/// What happened in a run.
+/// What a run or reward call reports.
 #[derive(Debug)]
-pub enum RunNews {
-    /// The head of the answer came, so the back end is there.
+pub enum RunUpdate {
+    /// The head of the response arrived, so the back end is reachable.
     Answered,
-    /// One more event.
+    /// One output event arrived.
     Event(OutputEvent),
-    /// The run ended.
+    /// The run ended, in this way.
     Ended(RunEnd),
-    /// The reward call ended.
+    /// The reward call ended, in this way.
     Scored(ScoreEnd),
 }
 
-/// How a run ended.
+/// How a run ended. Decides whether the item is finished, and what the back end's circuit breaker records.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RunEnd {
-    /// The output is whole.
+    /// The back end sent the whole output.
     Whole,
-    /// The back end did not run it.
+    /// The back end states that it did not run the item.
     NotRun,
-    /// What was known of the batch had become too old before the request could be written.
+    /// The request was not written: by the time it could be, this node's knowledge of the batch was too old.
     TooLate,
-    /// The back end could not be reached.
+    /// The back end could not be reached, so the request was not sent.
     Unreachable,
-    /// The stream broke off, fell silent, or brought something else.
+    /// The response broke off, fell silent, or is not a valid stream of this item.
     Broken,
-    /// Nothing came any more, and the item goes on elsewhere.
+    /// The stall detector ended the run because the back end fell silent; the item continues on another one.
     Stalled,
-    /// The back end failed.
+    /// The back end answered with an internal server error.
     Failed,
-    /// The back end said that it can never be done.
+    /// The item can never run: the back end says so, or no valid request can be made from it.
     Impossible,
-    /// The back end's weights are not of a version that is allowed.
+    /// The back end's weights have this version, which the item does not allow.
     WrongVersion(Version),
 }
 
 impl RunEnd {
-    /// Name in logs and metrics.
+    /// Returns the name used in logs and metrics.
     pub fn name(&self) -> &'static str {
         match self {
             Self::Whole => "whole",
@@ -107,92 +107,92 @@
     }
 }
 
-/// Which versions may make an item's events.
+/// Which weight versions may produce an item's events.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct VersionRule {
-    /// The oldest one.
+    /// The oldest version allowed.
     pub minimum: Version,
     /// Whether all events must come from one version.
     pub is_single: bool,
-    /// The version of the events already there.
-    pub made_by: Option<Version>,
+    /// The version that produced the first event of the output so far; `None` if there is no output.
+    pub first_version: Option<Version>,
 }
 
 impl VersionRule {
-    /// Whether a version may make the next event; `before` made the last one of this run.
-    fn allows(&self, version: Version, before: Option<Version>) -> bool {
-        let bound = before.or(self.made_by).filter(|_| self.is_single);
+    /// Whether a version may produce the next event; `previous` produced the last event of this run.
+    fn allows(&self, version: Version, previous: Option<Version>) -> bool {
+        let bound = previous.or(self.first_version).filter(|_| self.is_single);
         version >= self.minimum && bound.is_none_or(|bound| bound == version)
     }
 }
 
-/// A run to be made.
-pub struct RunOrder {
-    /// The item.
+/// Everything that a run needs.
+pub struct RunParameters {
+    /// The item to run.
     pub key: ItemKey,
-    /// The run.
+    /// Id of the run, which marks its messages and log records.
     pub run: RunId,
-    /// What to send.
+    /// The request: path, headers and body.
     pub spec: Arc<Item>,
     /// Host that selects the route.
     pub host: String,
     /// The tenant that the batch belongs to.
     pub tenant: Option<TenantName>,
-    /// Events already there.
+    /// Number of events that the item already has; the back end continues after them.
     pub resumed_from: u32,
-    /// Versions that may make an event.
+    /// Weight versions that may produce an event.
     pub versions: VersionRule,
-    /// When the item may be given up.
+    /// When the item is given up; sent to the back end as the time left.
     pub deadline: Instant,
     /// Time after which nothing of the request may be written: the batch may have been ended.
     pub write_by: Instant,
-    /// How urgent the back end is to take it.
+    /// Urgency that is sent to the back end; 0 is the most urgent.
     pub urgency: u8,
-    /// Told when the run counts as stalled.
-    pub stalled: Arc<Notify>,
+    /// Notified by the engine when the run counts as stalled.
+    pub stall_signal: Arc<Notify>,
 }
 
-/// Makes a run and tells the engine of each event and of the end.
-pub async fn make_run(
+/// Runs an item and sends each event and the end of the run to the engine.
+pub async fn run_item(
     context: Arc<Context>,
     backend: ChosenBackend,
-    order: RunOrder,
-    news: UnboundedSender<RunMessage>,
+    parameters: RunParameters,
+    messages: UnboundedSender<RunMessage>,
 ) {
     let mut events = 0;
     let end = tokio::select! {
-        end = run_to_end(&context, &backend, &order, &news, &mut events) => end,
+        end = send_and_read(&context, &backend, &parameters, &messages, &mut events) => end,
         // Drops the exchange, which resets its connection.
-        () = order.stalled.notified() => RunEnd::Stalled,
+        () = parameters.stall_signal.notified() => RunEnd::Stalled,
     };
-    note_crashes(&context, &backend, &order, &end, events).await;
+    record_crash_evidence(&context, &backend, &parameters, &end, events).await;
     drop(backend);
     // The engine is gone only when the process ends.
-    let _ = news.send(RunMessage {
-        key: order.key,
-        run: order.run,
-        news: RunNews::Ended(end),
+    let _ = messages.send(RunMessage {
+        key: parameters.key,
+        run: parameters.run,
+        update: RunUpdate::Ended(end),
     });
 }
 
-/// Notes what the end of a run says of whether its item ends back ends.
-async fn note_crashes(
+/// Reports to the crash guard what the end of a run shows about whether its item crashes back ends.
+async fn record_crash_evidence(
     context: &Arc<Context>,
     backend: &ChosenBackend,
-    order: &RunOrder,
+    parameters: &RunParameters,
     end: &RunEnd,
     events: u32,
 ) {
-    let request = || fingerprint::of_item(&order.host, &order.spec);
+    let request = || fingerprint::of_item(&parameters.host, &parameters.spec);
     match end {
         RunEnd::Whole | RunEnd::Failed | RunEnd::Impossible => {
             let is_success = *end == RunEnd::Whole;
             crash_guard::record_answer(context, &backend.id, is_success, request);
         }
-        RunEnd::Broken | RunEnd::Stalled if events < EVENTS_OF_A_SOUND_RUN => {
+        RunEnd::Broken | RunEnd::Stalled if events < MIN_EVENTS_OF_HEALTHY_RUN => {
             let broken = UnansweredSend {
                 request: request(),
-                id: order.key.item.to_string(),
+                id: parameters.key.item.to_string(),
                 backend: backend.id.clone(),
                 link: backend.link.clone(),
                 slot: None,
@@ -208,24 +208,24 @@
     }
 }
 
-/// Makes a run; `events` counts what it brings.
-async fn run_to_end(
+/// Sends the request and reads the response. Counts the events that arrive in `events`.
+async fn send_and_read(
     context: &Context,
     backend: &ChosenBackend,
-    order: &RunOrder,
-    news: &UnboundedSender<RunMessage>,
+    parameters: &RunParameters,
+    messages: &UnboundedSender<RunMessage>,
     events: &mut u32,
 ) -> RunEnd {
-    let Some(request) = item_request(context, &backend.id, order) else {
+    let Some(request) = item_request(context, &backend.id, parameters) else {
         return RunEnd::Impossible;
     };
     let sending = Sending::within(HEAD_TIMEOUT)
-        .written_by(order.write_by)
+        .written_by(parameters.write_by)
         .patient_for(send::HEAD_SILENCE_TIMEOUT)
         .ended_when_silent();
     let answer = match backend.link.send_as(request.clone(), sending).await {
-        // Closed with a reset, which cancels what may have begun; the rest of the connections is closed
-        // too, so that this goes over a new one.
+        // The silent connection was closed with a reset, which cancels a run that may have begun. The other
+        // connections to the back end are closed too, so the second attempt uses a new one.
         Err(LinkError::Silent) => {
             let again = backend.link.send_as(request, sending).await;
             again.map_err(|_| LinkError::Silent)
@@ -238,51 +238,56 @@
         Err(error) if error.is_unsent() => return RunEnd::Unreachable,
         Err(_) => return RunEnd::Broken,
     };
-    match check_head(context, order, &answer) {
+    match check_head(context, parameters, &answer) {
         Ok(version) => {
-            tell_answered(order, news);
-            read_events(context, backend, order, answer, version, news, events).await
+            send_answered(parameters, messages);
+            read_events(
+                context, backend, parameters, answer, version, messages, events,
+            )
+            .await
         }
         Err(end) => {
-            // Read to the end, so that the connection is kept.
-            let rest = answer.whole(MOST_REFUSAL_BYTES);
+            // Reads the body to its end, so that the connection can be reused.
+            let rest = answer.whole(MAX_REJECTION_BYTES);
             let _ = tokio::time::timeout(HEAD_TIMEOUT, rest).await;
             end
         }
     }
 }
 
-fn tell_answered(order: &RunOrder, news: &UnboundedSender<RunMessage>) {
+fn send_answered(parameters: &RunParameters, messages: &UnboundedSender<RunMessage>) {
     // The engine is gone only when the process ends.
-    let _ = news.send(RunMessage {
-        key: order.key.clone(),
-        run: order.run,
-        news: RunNews::Answered,
+    let _ = messages.send(RunMessage {
+        key: parameters.key.clone(),
+        run: parameters.run,
+        update: RunUpdate::Answered,
     });
 }
 
-/// Longest body of a refusal that is read.
-const MOST_REFUSAL_BYTES: usize = 64 * 1024;
+/// Maximum size of an error response's body that is read.
+const MAX_REJECTION_BYTES: usize = 64 * 1024;
 
 fn item_request(
     context: &Context,
     backend: &BackendId,
-    order: &RunOrder,
+    parameters: &RunParameters,
 ) -> Option<Request<Full<Bytes>>> {
     let names = context.dialect.headers();
-    let left = order.deadline.saturating_duration_since(Instant::now());
-    let mut request = Request::new(Full::new(order.spec.body.clone()));
+    let left = parameters
+        .deadline
+        .saturating_duration_since(Instant::now());
+    let mut request = Request::new(Full::new(parameters.spec.body.clone()));
     *request.method_mut() = Method::POST;
-    *request.uri_mut() = order.spec.path.parse::<Uri>().ok()?;
+    *request.uri_mut() = parameters.spec.path.parse::<Uri>().ok()?;
     let headers = request.headers_mut();
-    for header in &order.spec.headers {
+    for header in &parameters.spec.headers {
         let name = HeaderName::try_from(header.name.as_str()).ok()?;
         headers.insert(name, HeaderValue::from_str(&header.value).ok()?);
     }
     send::remove_connection_headers(headers);
-    access::set_tenant_header(names, headers, order.tenant.as_ref());
-    headers.insert(HOST, HeaderValue::from_str(&order.host).ok()?);
-    let id = HeaderValue::from_str(order.key.item.as_str()).ok()?;
+    access::set_tenant_header(names, headers, parameters.tenant.as_ref());
+    headers.insert(HOST, HeaderValue::from_str(&parameters.host).ok()?);
+    let id = HeaderValue::from_str(parameters.key.item.as_str()).ok()?;
     headers.insert(names.request_id.clone(), id);
     let deadline_ms = left.as_millis().max(1) as u64;
     headers.insert(names.deadline_ms.clone(), HeaderValue::from(deadline_ms));
@@ -290,22 +295,22 @@
     headers.insert(names.expected_backend.clone(), expected);
     headers.insert(
         names.urgency.clone(),
-        HeaderValue::from(u64::from(order.urgency)),
+        HeaderValue::from(u64::from(parameters.urgency)),
     );
-    if order.resumed_from > 0 {
+    if parameters.resumed_from > 0 {
         headers.insert(
             names.last_event_id.clone(),
-            HeaderValue::from(order.resumed_from),
+            HeaderValue::from(parameters.resumed_from),
         );
     }
     Some(request)
 }
 
-/// The version that the stream begins with, if it is told, or how the run ends. A stream that has
-/// nothing to add to what is there names no version.
+/// Checks the head of a response. Returns the version that the stream begins with, if the head names one; a
+/// stream that adds no event names none. Returns how the run ends if the response is not a valid stream.
 fn check_head(
     context: &Context,
-    order: &RunOrder,
+    parameters: &RunParameters,
     answer: &Answer,
 ) -> Result<Option<Version>, RunEnd> {
     let names = context.dialect.headers();
@@ -316,7 +321,7 @@
         return Err(RunEnd::NotRun);
     }
     let id = answer.headers().get(&names.request_id);
-    if id.is_none_or(|id| id.as_bytes() != order.key.item.as_str().as_bytes()) {
+    if id.is_none_or(|id| id.as_bytes() != parameters.key.item.as_str().as_bytes()) {
         return Err(RunEnd::Broken);
     }
     match answer.status() {
@@ -326,7 +331,7 @@
         _ => return Err(RunEnd::Broken),
     }
     match read_version(answer.headers(), &names.weight_version) {
-        Some(version) if !order.versions.allows(version, None) => {
+        Some(version) if !parameters.versions.allows(version, None) => {
             Err(RunEnd::WrongVersion(version))
         }
         version => Ok(version),
@@ -340,14 +345,14 @@
 async fn read_events(
     context: &Context,
     backend: &ChosenBackend,
-    order: &RunOrder,
+    parameters: &RunParameters,
     mut answer: Answer,
     mut version: Option<Version>,
-    news: &UnboundedSender<RunMessage>,
+    messages: &UnboundedSender<RunMessage>,
     events: &mut u32,
 ) -> RunEnd {
     let mut reader = EventReader::new(context.dialect.headers().weight_version.as_str());
-    let mut count = u64::from(order.resumed_from);
+    let mut count = u64::from(parameters.resumed_from);
     let mut last_event = Instant::now();
     let mut gaps = StreamGaps::default();
     let is_framed = answer.is_framed();
@@ -355,7 +360,8 @@
         let bytes = match tokio::time::timeout(EVENT_TIMEOUT, answer.next_bytes()).await {
             Ok(Ok(Some(bytes))) => bytes,
             Ok(Ok(None)) if is_framed => return RunEnd::Whole,
-            // An end that is not marked may be a break: a resumed run will tell.
+            // A body without a length or chunks has no marked end, so this may be a broken connection. A
+            // resumed run shows whether the output is whole.
             Ok(Ok(None)) => return RunEnd::Broken,
             Ok(Err(LinkError::Broken | _)) | Err(_) => return RunEnd::Broken,
         };
@@ -366,11 +372,11 @@
             if event.id.is_some_and(|id| id != count) {
                 return RunEnd::Broken;
             }
-            let before = version;
+            let previous = version;
             version = event.version.or(version);
-            let made_by = version.unwrap_or(0);
-            if !order.versions.allows(made_by, before) {
-                // Without a word of the version it is not known to be allowed.
+            let event_version = version.unwrap_or(0);
+            if !parameters.versions.allows(event_version, previous) {
+                // If the stream names no version, the event cannot be checked and the run counts as broken.
                 return version.map_or(RunEnd::Broken, RunEnd::WrongVersion);
             }
             let gap_ms = last_event.elapsed().as_secs_f64() * 1_000.0;
@@ -378,18 +384,18 @@
             if let Some(gap) = gaps.record_event(gap_ms) {
                 let now = context.now();
                 let mut backends = context.backends.lock();
-                backends.saw_event_gap(&backend.id, gap, now);
+                backends.record_event_gaps(&backend.id, gap, now);
             }
             let event = OutputEvent {
-                version: made_by,
+                version: event_version,
                 data: event.data,
             };
             let message = RunMessage {
-                key: order.key.clone(),
-                run: order.run,
-                news: RunNews::Event(event),
+                key: parameters.key.clone(),
+                run: parameters.run,
+                update: RunUpdate::Event(event),
             };
-            if news.send(message).is_err() {
+            if messages.send(message).is_err() {
                 return RunEnd::Broken;
             }
         }
--- a/crates/gateway/tests/crashing_requests.rs
+++ b/crates/gateway/tests/crashing_requests.rs
@@ -78,7 +78,7 @@
         next_lives.push(next);
     }
     end_on_harmful_requests(&next_lives);
-    node.knows(6).await;
+    node.wait_until_known(6).await;
     for number in 0..5 {
         ask(&node, &format!("next-{number}"), "/calls/harmful").await;
     }
@@ -230,7 +230,7 @@
     let deployment = Deployment::start(0, 8).await;
     end_on_harmful_requests(&deployment.applications);
     let nodes = nodes(&deployment, &["a", "b"]).await;
-    nodes[0].knows_addresses(nodes.len()).await;
+    nodes[0].wait_until_addresses_known(nodes.len()).await;
     nodes[0].set_faults(LogFaults {
         is_cut: true,
         ..LogFaults::default()
--- a/crates/gateway/tests/missed_ends.rs
+++ b/crates/gateway/tests/missed_ends.rs
@@ -137,7 +137,7 @@
         call(address, "harmful", "/calls/harmful").await;
     });
     wait_until("the request runs", || !former.seen().is_empty()).await;
-    node.hold(Duration::from_millis(600)).await;
+    node.block_thread(Duration::from_millis(600)).await;
     wait_until("the address is free", || {
         former.has_ended() && std::net::TcpListener::bind(former.address).is_ok()
     })
@@ -304,8 +304,8 @@
     let name = late_names
         .nth(number)
         .expect("some name has a long announce delay");
-    let node = TestNode::start_so(NodeLog::new(&deployment.log), settings(&name)).await;
-    node.knows(deployment.applications.len()).await;
+    let node = TestNode::start_with_settings(NodeLog::new(&deployment.log), settings(&name)).await;
+    node.wait_until_known(deployment.applications.len()).await;
     node
 }
 
