--- a/crates/gateway/src/access.rs
+++ b/crates/gateway/src/access.rs
@@ -28,7 +28,7 @@
 /// Authenticates the caller of a request on a submitted batch. A denied request is logged and counted. While no
 /// configuration is known, the caller is unverified and reaches only batches without a tenant.
 pub(crate) async fn admit_to_batches(context: &Context, head: &Parts) -> Result<Caller, Denied> {
-    let Some(table) = context.routes_soon().await else {
+    let Some(table) = context.wait_for_routes().await else {
         return Ok(Caller::Unverified);
     };
     let host = request_host(head).unwrap_or_default();
--- a/crates/gateway/src/engine/mod.rs
+++ b/crates/gateway/src/engine/mod.rs
@@ -165,7 +165,7 @@
                 let began = Instant::now();
                 self.drop_settled_items();
                 self.update_leases();
-                self.context.choose_what_to_follow();
+                self.context.choose_followed_partitions();
                 self.plan();
                 metrics::items_running(self.items.len());
                 self.pace.done(began);
--- a/crates/gateway/src/engine/reward.rs
+++ b/crates/gateway/src/engine/reward.rs
@@ -102,7 +102,7 @@
             pause: REWARD_RETRY_PAUSE,
         };
     };
-    let share = context.share_of_places(pool);
+    let share = context.fair_slot_share(pool);
     let permit = context.reward_limiter.acquire(pool, share).await;
     let began = Instant::now();
     if !are_routes_current(context, routes.as_deref()) {
--- a/crates/gateway/tests/stalled_runs.rs
+++ b/crates/gateway/tests/stalled_runs.rs
@@ -54,7 +54,7 @@
             engines.push(engine);
         }
         let node = TestNode::start(&deployment.log, "a").await;
-        node.knows(ENGINE_COUNT).await;
+        node.wait_until_known(ENGINE_COUNT).await;
         let running = Self {
             deployment,
             engines,
@@ -174,7 +174,10 @@
 #[tokio::test]
 async fn a_node_that_was_suspended_moves_no_items() {
     let running = RunningBatch::start().await;
-    running.node.hold(Duration::from_millis(1_500)).await;
+    running
+        .node
+        .block_thread(Duration::from_millis(1_500))
+        .await;
     running.assert_results_are_whole().await;
     assert_eq!(running.sent_again(), HashMap::new());
 }
