--- a/crates/gateway/src/backends.rs
+++ b/crates/gateway/src/backends.rs
@@ -98,8 +98,8 @@
     }
 
     /// Sets whether all existing back ends are listed here.
-    pub fn set_fully_listed(&self, is_whole: bool) {
-        self.is_fully_listed.store(is_whole, Ordering::Relaxed);
+    pub fn set_fully_listed(&self, is_complete: bool) {
+        self.is_fully_listed.store(is_complete, Ordering::Relaxed);
     }
 
     /// Requests a listing of more back ends of a pool, if some are unlisted: for callers whose known back ends are all
@@ -241,9 +241,9 @@
         has_limit && self.slow_start.is_cold(id, now)
     }
 
-    /// Whether some back end of a pool is warm. Then cold ones get no items: in nine simulations of three days with a
-    /// pool of 44 back ends, 15 of which return cold, items that avoided the cold ones had a mean value of 0.70 to their
-    /// trainers, against 0.66 where each cold one got its full allowance from one node.
+    /// Whether some back end of a pool is warm. Then cold ones get no items. In simulations of three days with a pool of
+    /// 44 back ends, 15 of which return cold, items that avoided the cold ones had a value of 0.70 to their trainers,
+    /// against 0.66 where each cold one got its full allowance from one node (means of nine runs each).
     pub fn has_warm(&self, pool: &PoolName, now: Millis) -> bool {
         self.list
             .ready_in(pool)
--- a/crates/gateway/tests/explain.rs
+++ b/crates/gateway/tests/explain.rs
@@ -118,7 +118,7 @@
     assert!(results[0].contains("given up"), "{results:?}");
     let given_up = &lines("item_given_up", "given-up-item")[0];
     assert_eq!(given_up["reason"], "AttemptsUsed");
-    // The output was whole; its reward call is the one that failed, as its own line says.
+    // The run produced its whole output; the reward call failed, as the line of that call shows.
     assert_eq!(lines("run_ended", "given-up-item")[0]["outcome"], "whole");
     let reward = &lines("call", &given_up["reward_call"])[0];
     assert_eq!(reward["sends"], "failed,failed,failed");
