--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/accept_health.rs
@@ -14,19 +14,19 @@
 
 /// How the taking of callers' connections goes.
 #[derive(Debug, Default)]
-pub struct Intake {
+pub struct AcceptHealth {
     failures: AtomicU32,
     last_failure: AtomicU64,
 }
 
-impl Intake {
+impl AcceptHealth {
     /// A connection was taken.
-    pub fn took_one(&self) {
+    pub fn record_accept(&self) {
         self.failures.store(0, Ordering::Relaxed);
     }
 
     /// A connection could not be taken.
-    pub fn failed(&self, now: Millis) {
+    pub fn record_failure(&self, now: Millis) {
         let last_failure = self.last_failure.swap(now, Ordering::Relaxed);
         if now.saturating_sub(last_failure) > QUIET_MS {
             self.failures.store(0, Ordering::Relaxed);
@@ -35,7 +35,7 @@
     }
 
     /// Whether connections are taken, as far as is known.
-    pub fn works(&self, now: Millis) -> bool {
+    pub fn is_accepting(&self, now: Millis) -> bool {
         let last_failure = self.last_failure.load(Ordering::Relaxed);
         self.failures.load(Ordering::Relaxed) < FEW_FAILURES
             || now.saturating_sub(last_failure) > QUIET_MS
--- a/crates/gateway/src/batch_ends.rs
+++ b/crates/gateway/src/batch_ends.rs
@@ -14,9 +14,9 @@
 
 use crate::batch_answer::BatchAnswer;
 use crate::context::Context;
+use crate::partition_queries::{self, Absence};
 use crate::peers::{self, OwnerEndOutcome};
-use crate::questions::{self, NotFound};
-use crate::repeated_append::{AppendFor, AppendOutcome, append};
+use crate::retried_append::{AppendFor, AppendOutcome, append};
 
 /// What came of a call that ends a batch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -113,7 +113,7 @@
         return append_end(context, caller, id, whom).await;
     }
     let asked = Instant::now();
-    match questions::ask_now(context, id).await {
+    match partition_queries::query_now(context, id).await {
         Ok(()) => append_end_if_known(context, caller, id, asked, whom).await,
         // That the partition could not be read was told, with the reason.
         Err(_) => EndOutcome::NotAppended { may_be_done: false },
@@ -144,14 +144,14 @@
     if lies_here || is_verified && was_found_in_the_log(context, id) {
         return append_end(context, caller, id, whom).await;
     }
-    match questions::not_found(context, caller, id) {
-        NotFound::NotThere => EndOutcome::NotThere,
-        NotFound::MayBeHidden => {
-            questions::tell_hidden(context, id, asked);
+    match partition_queries::classify_absence(context, caller, id) {
+        Absence::DoesNotExist => EndOutcome::NotThere,
+        Absence::MayBeHidden => {
+            partition_queries::log_hidden(context, id, asked);
             EndOutcome::NotAppended { may_be_done: false }
         }
-        NotFound::MayBeMissed => {
-            questions::tell_missed(context, id, asked);
+        Absence::MayBeMissed => {
+            partition_queries::log_missed(context, id, asked);
             EndOutcome::NotAppended { may_be_done: false }
         }
     }
--- a/crates/gateway/src/batch_knowledge.rs
+++ b/crates/gateway/src/batch_knowledge.rs
@@ -26,13 +26,13 @@
 
 impl Context {
     /// Whether work may be started for the open batches of a partition.
-    pub fn may_start_work(&self, partition: &BatchView) -> bool {
+    pub fn can_start_work(&self, partition: &BatchView) -> bool {
         partition.may_be_acted_on(self.now(), self.end_share_ms(START_SHARE))
     }
 
     /// Time after which nothing may be written of a request that is made for a batch; `None` if nothing
     /// may be written at all: the batch is not known, or known to have ended.
-    pub fn write_by(&self, batch: &BatchId) -> Option<Instant> {
+    pub fn write_deadline(&self, batch: &BatchId) -> Option<Instant> {
         // Taken together and first: time that passes from here on must not add to what is left.
         let (began, now) = (Instant::now(), self.now());
         let inner = self.partition_of(batch).lock();
@@ -51,10 +51,10 @@
     /// Waits until work may be started for a batch. While its partition can be read, the log is asked at
     /// once: a read that waits for records may be a second from its answer. While it cannot, the task
     /// that follows it asks, with pauses, for all who wait.
-    pub async fn until_work_may_start(&self, batch: &BatchId) {
+    pub async fn wait_until_work_may_start(&self, batch: &BatchId) {
         let partition = self.partition_of(batch);
         let most_age = Duration::from_millis(self.end_share_ms(START_SHARE));
-        while !self.may_start_work(partition) {
+        while !self.can_start_work(partition) {
             if !partition.is_current(self.now()) {
                 tokio::time::sleep(LOOK_PAUSE).await;
                 continue;
--- a/crates/gateway/src/batch_partitions.rs
+++ b/crates/gateway/src/batch_partitions.rs
@@ -79,7 +79,7 @@
     }
 
     /// Whether the partitions that this node's own work needs have been read up to this time.
-    pub fn know_needed(&self, now: Millis) -> bool {
+    pub fn are_needed_current(&self, now: Millis) -> bool {
         let needed = self.needed();
         needed
             .iter()
--- a/crates/gateway/src/batch_reads.rs
+++ b/crates/gateway/src/batch_reads.rs
@@ -18,8 +18,8 @@
 use crate::batch_partitions::BatchView;
 use crate::context::Context;
 use crate::edge::{LogError, ResultPage};
+use crate::partition_queries::{self, Absence};
 use crate::peers;
-use crate::questions::{self, NotFound};
 
 /// Age of a node's knowledge that is still good enough to say that nothing is new.
 const FRESH_ENOUGH: Duration = Duration::from_millis(400);
@@ -196,9 +196,9 @@
     async fn ask(&self, most_age: Duration) -> Result<(), LogError> {
         let until = match self.is_for_peer {
             true => self.asked + self.wait,
-            false => questions::deadline(self.context, self.asked, self.wait),
+            false => partition_queries::retry_deadline(self.context, self.asked, self.wait),
         };
-        let question = questions::ask(self.context, self.id, most_age, until);
+        let question = partition_queries::query(self.context, self.id, most_age, until);
         tokio::pin!(question);
         loop {
             let changed = self.partition.changed();
@@ -232,7 +232,7 @@
     }
 
     fn refused(&self, error: LogError) -> BatchAnswer {
-        questions::tell_refused(self.context, self.id, error, self.asked);
+        partition_queries::log_refused(self.context, self.id, error, self.asked);
         BatchAnswer::empty(StatusCode::SERVICE_UNAVAILABLE)
     }
 }
@@ -258,7 +258,7 @@
     if let Some(answer) = peers::item_body(context, caller, id, item, asked).await {
         return answer;
     }
-    if questions::ask_now(context, id).await.is_err() {
+    if partition_queries::query_now(context, id).await.is_err() {
         return BatchAnswer::empty(StatusCode::SERVICE_UNAVAILABLE);
     }
     if visible(&partition.lock().state, caller, id).is_none() {
@@ -271,17 +271,17 @@
 /// Answers a call, made at `asked`, on a batch that is not in its partition, or not for its caller, as far as that
 /// is known here.
 fn not_found(context: &Context, caller: &Caller, id: &BatchId, asked: Instant) -> BatchAnswer {
-    match questions::not_found(context, caller, id) {
-        NotFound::NotThere => {
+    match partition_queries::classify_absence(context, caller, id) {
+        Absence::DoesNotExist => {
             info!(event = "batch_not_found", batch = id.as_str(), status = 404u16; "");
             BatchAnswer::empty(StatusCode::NOT_FOUND)
         }
-        NotFound::MayBeHidden => {
-            questions::tell_hidden(context, id, asked);
+        Absence::MayBeHidden => {
+            partition_queries::log_hidden(context, id, asked);
             BatchAnswer::empty(StatusCode::SERVICE_UNAVAILABLE)
         }
-        NotFound::MayBeMissed => {
-            questions::tell_missed(context, id, asked);
+        Absence::MayBeMissed => {
+            partition_queries::log_missed(context, id, asked);
             BatchAnswer::empty(StatusCode::SERVICE_UNAVAILABLE)
         }
     }
--- a/crates/gateway/src/batch_submissions.rs
+++ b/crates/gateway/src/batch_submissions.rs
@@ -17,7 +17,7 @@
 
 use crate::batch_answer::BatchAnswer;
 use crate::context::Context;
-use crate::repeated_append::{AppendFor, AppendOutcome, append};
+use crate::retried_append::{AppendFor, AppendOutcome, append};
 
 /// Age of a sign of life up to which its node is taken to be alive.
 const ALIVE_MS: Millis = 700;
--- a/crates/gateway/src/calls.rs
+++ b/crates/gateway/src/calls.rs
@@ -69,7 +69,7 @@
     /// may be written at all.
     pub(crate) fn write_by(&self, context: &Context, ends: Instant) -> Option<Instant> {
         match &self.batch {
-            Some(batch) => context.write_by(batch).map(|at| at.min(ends)),
+            Some(batch) => context.write_deadline(batch).map(|at| at.min(ends)),
             None => Some(ends),
         }
     }
--- a/crates/gateway/src/checkpoints.rs
+++ b/crates/gateway/src/checkpoints.rs
@@ -76,7 +76,7 @@
     let loaded = loop {
         tries += 1;
         match load(context).await {
-            Err(LoadError::Store(_)) if tries < LOAD_TRIES => pause_after_try(tries).await,
+            Err(LoadError::Store(_)) if tries < LOAD_TRIES => pause_before_retry(tries).await,
             loaded => break loaded,
         }
     };
@@ -96,7 +96,7 @@
 }
 
 /// Waits before a checkpoint is asked for again; not all nodes alike.
-pub(crate) async fn pause_after_try(tries: u32) {
+pub(crate) async fn pause_before_retry(tries: u32) {
     let pause = LOAD_PAUSE * (1 << tries.min(MOST_DOUBLINGS));
     tokio::time::sleep(pause.mul_f64(rand::random())).await;
 }
--- a/crates/gateway/src/claim_timing.rs
+++ b/crates/gateway/src/claim_timing.rs
@@ -18,7 +18,7 @@
 }
 
 /// Time until this node makes a claim again that came to nothing.
-pub fn claim_again_after_ms(context: &Context, claim: &str) -> Millis {
+pub fn claim_retry_delay_ms(context: &Context, claim: &str) -> Millis {
     let silence_ms = context.settings.tuning.silence_ms;
     claim_spread(context).retry_delay_ms(xxh3_64(claim.as_bytes()), silence_ms)
 }
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -22,6 +22,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use tokio::sync::{Notify, Semaphore, watch};
 
+use crate::accept_health::AcceptHealth;
 use crate::backends::Backends;
 use crate::batch_partitions::{BatchPartitions, BatchView};
 use crate::counted_log::CountedLog;
@@ -32,7 +33,6 @@
     StreamPartition, Surroundings,
 };
 use crate::held_answers::HeldAnswers;
-use crate::intake::Intake;
 use crate::lease_grant::LeaseGrant;
 use crate::metering::UsageCounter;
 use crate::operations::OperationsApi;
@@ -144,7 +144,7 @@
     /// Answers that callers have not taken yet.
     pub answers: Arc<HeldAnswers>,
     /// How the taking of callers' connections goes.
-    pub intake: Intake,
+    pub accept_health: AcceptHealth,
     /// Other nodes that run batches.
     pub peers: Peers,
     pub(crate) crash_guard: CrashGuard,
@@ -228,7 +228,7 @@
             control_read_at: OnceLock::new(),
             takes_part: watch::Sender::new(false),
             answers,
-            intake: Intake::default(),
+            accept_health: AcceptHealth::default(),
             peers: Peers::default(),
             crash_guard: CrashGuard::default(),
             watched: Watched::default(),
--- a/crates/gateway/src/coordinator/lease.rs
+++ b/crates/gateway/src/coordinator/lease.rs
@@ -13,7 +13,7 @@
 use crate::claim_timing::claim_timing;
 use crate::edge::Appended;
 use crate::lease_grant::LeaseGrant;
-use crate::log_writes::{append_control, append_sign_of_life};
+use crate::log_writes::{append_control, append_heartbeat};
 
 /// Share of the silence after which others claim in which the holder relies on its lease.
 const RELIABLE_SHARE: f64 = 0.7;
@@ -109,7 +109,7 @@
             holder,
             after_ms: after.unwrap_or_default().as_millis() as Millis,
         };
-        let appended = append_sign_of_life(&self.context, &record).await.ok();
+        let appended = append_heartbeat(&self.context, &record).await.ok();
         let sign_stood_at = appended.map(|_| AwakeInstant::now());
         let is_current = match appended {
             Some(appended) => self.is_kept(appended, lease.term).await,
--- a/crates/gateway/src/digest_reader.rs
+++ b/crates/gateway/src/digest_reader.rs
@@ -14,13 +14,13 @@
 use crate::dependency::Dependency;
 use crate::digest_writer::{CHECKPOINT, kept_age_ms};
 use crate::followers::{ReadOutcome, read_once};
-use crate::log_writes::append_repeated;
+use crate::log_writes::append_or_warn;
 
 /// Time without a word of its holder after which the digest is taken for abandoned: another node claims the lease for
 /// orders and lists the directory within it.
 const ABANDONED_AFTER_MS: Millis = 4_000;
 /// Time for which a node reads the directory itself once the digest was abandoned, before it looks for a digest again.
-pub(crate) const READ_DIRECTORY_FOR: Duration = Duration::from_secs(4);
+pub(crate) const DIRECTORY_FALLBACK_DURATION: Duration = Duration::from_secs(4);
 /// Tries to read its checkpoint before the directory is read instead.
 const LOAD_TRIES: u32 = 8;
 /// Bytes that a node reads of the directory where nobody keeps a digest: a page of a listing.
@@ -35,14 +35,14 @@
 const ASK_PAUSE: Duration = Duration::from_secs(1);
 
 /// Whether some node keeps a digest that can be taken up: its checkpoint is there.
-pub(crate) async fn take_up(context: &Context) -> bool {
+pub(crate) async fn restore_from_checkpoint(context: &Context) -> bool {
     for tries in 1..=LOAD_TRIES {
         match context.checkpoints.load(CHECKPOINT).await {
             Ok(None) => return false,
             Ok(Some(value)) => return restore(context, &value),
             Err(error) => {
                 warn!(event = "checkpoint_not_read", reason = error.to_string().as_str(); "");
-                checkpoints::pause_after_try(tries).await;
+                checkpoints::pause_before_retry(tries).await;
             }
         }
     }
@@ -93,7 +93,7 @@
         let gap_ms = context.pace().read_interval_ms;
         match read_once(context, &context.digest, &mut dependency, gap_ms).await {
             ReadOutcome::Dropped => {
-                take_up(context).await;
+                restore_from_checkpoint(context).await;
             }
             ReadOutcome::Answered if has_all => apply_changes(context),
             ReadOutcome::Answered => {
@@ -151,7 +151,7 @@
         if rand::random::<f64>() < share {
             info!(event = "more_back_ends_wanted", pool = pool.as_str(); "");
             let record = DigestRecord::MoreWanted { pool };
-            append_repeated(context.clone(), BACKEND_DIGEST, record).await;
+            append_or_warn(context.clone(), BACKEND_DIGEST, record).await;
         }
         tokio::time::sleep(ASK_PAUSE).await;
     }
--- a/crates/gateway/src/directories.rs
+++ b/crates/gateway/src/directories.rs
@@ -14,7 +14,7 @@
 
 use crate::context::Context;
 use crate::dependency::Dependency;
-use crate::digest_reader::{self, READ_DIRECTORY_FOR};
+use crate::digest_reader::{self, DIRECTORY_FALLBACK_DURATION};
 use crate::edge::{DirectoryEntry, DirectoryKind, ListingPage, LogError};
 use crate::metrics;
 
@@ -37,7 +37,7 @@
 /// Follows the directory of back ends itself while all nodes can, and else its digest.
 pub async fn follow_backends(context: Arc<Context>) {
     let mut follower = DirectoryFollower::new(context.clone(), DirectoryKind::Backends);
-    if digest_reader::take_up(&context).await {
+    if digest_reader::restore_from_checkpoint(&context).await {
         context.note_large_directory();
         digest_reader::follow(&context).await;
         follower.follow_for_a_while().await;
@@ -81,7 +81,7 @@
 
     /// Follows the directory for as long as a digest is likely to be missing.
     async fn follow_for_a_while(&mut self) {
-        let until = Instant::now() + READ_DIRECTORY_FOR;
+        let until = Instant::now() + DIRECTORY_FALLBACK_DURATION;
         while Instant::now() < until {
             self.step().await;
         }
--- a/crates/gateway/src/engine/carried.rs
+++ b/crates/gateway/src/engine/carried.rs
@@ -31,7 +31,10 @@
             .map(NewBatch::of)
             .collect();
         drop(inner);
-        let is_final = self.context.partitions.know_needed(self.context.now());
+        let is_final = self
+            .context
+            .partitions
+            .are_needed_current(self.context.now());
         for batch in new {
             let items = carried_items(&self.context, &batch);
             self.carried.insert(batch.id, Carried { items, is_final });
--- a/crates/gateway/src/engine/heartbeat.rs
+++ b/crates/gateway/src/engine/heartbeat.rs
@@ -12,7 +12,7 @@
 use super::Engine;
 use super::leases::{HeldBatch, open_ids};
 use crate::context::{CONTROL, OCCUPANCY};
-use crate::log_writes::append_repeated;
+use crate::log_writes::append_or_warn;
 
 /// Time after which places that are taken are told again though nothing changed: well within the age
 /// up to which they count.
@@ -58,7 +58,7 @@
         };
         let (context, is_telling) = (self.context.clone(), self.heartbeats.is_telling.clone());
         tokio::spawn(async move {
-            append_repeated(context, CONTROL, record).await;
+            append_or_warn(context, CONTROL, record).await;
             is_telling.store(false, Ordering::Release);
         });
     }
@@ -84,7 +84,7 @@
             node: node.clone(),
             address,
         };
-        tokio::spawn(append_repeated(self.context.clone(), CONTROL, record));
+        tokio::spawn(append_or_warn(self.context.clone(), CONTROL, record));
     }
 
     /// Routes of the batches, so that this node is handed their next ones; none while it stops.
@@ -140,7 +140,7 @@
         }
         self.heartbeats.occupied_at = now;
         self.heartbeats.occupied = Some(record.clone());
-        tokio::spawn(append_repeated(self.context.clone(), OCCUPANCY, record));
+        tokio::spawn(append_or_warn(self.context.clone(), OCCUPANCY, record));
     }
 }
 
--- a/crates/gateway/src/engine/held_back.rs
+++ b/crates/gateway/src/engine/held_back.rs
@@ -21,7 +21,7 @@
     /// over.
     pub(super) fn is_held_back(&mut self, partition: usize, now: Millis) -> bool {
         let view = self.context.partitions.at(partition);
-        if self.context.may_start_work(view) {
+        if self.context.can_start_work(view) {
             self.go_on(partition, now);
             return false;
         }
--- a/crates/gateway/src/engine/leases.rs
+++ b/crates/gateway/src/engine/leases.rs
@@ -16,9 +16,9 @@
 use super::Engine;
 use super::claim::{self, ClaimOutcome, timing_of};
 use super::run::ItemKey;
-use crate::claim_timing::claim_again_after_ms;
+use crate::claim_timing::claim_retry_delay_ms;
 use crate::context::{CONTROL, Context};
-use crate::log_writes::{append_control, append_repeated};
+use crate::log_writes::{append_control, append_or_warn};
 
 /// Time after a batch closed in which its owner still says that it serves the route, so that the
 /// route's next batch can be given to it.
@@ -132,7 +132,7 @@
         let now = self.context.now();
         let silence_ms = self.context.settings.tuning.silence_ms;
         let claim = format!("{} {batch}", self.context.node);
-        let again_after_ms = claim_again_after_ms(&self.context, &claim);
+        let again_after_ms = claim_retry_delay_ms(&self.context, &claim);
         match outcome {
             ClaimOutcome::Claimed => {}
             ClaimOutcome::Closed => self.tell_closed(batch, now),
@@ -155,7 +155,7 @@
         self.told_closed.insert(batch.clone(), now);
         let context = self.context.clone();
         let record = ControlRecord::BatchClosed { batch };
-        tokio::spawn(append_repeated(context, CONTROL, record));
+        tokio::spawn(append_or_warn(context, CONTROL, record));
     }
 
     fn release_all(&mut self, held: Vec<HeldBatch>) {
--- a/crates/gateway/src/engine/reward.rs
+++ b/crates/gateway/src/engine/reward.rs
@@ -69,7 +69,7 @@
     let mut failures = 0;
     loop {
         // A batch's end holds for reward calls as it does for items.
-        context.until_work_may_start(batch).await;
+        context.wait_until_work_may_start(batch).await;
         match try_once(context, batch, reward, &mut failures).await {
             Try::Scored(score) => return ScoreEnd::Score(score),
             Try::AttemptsUsed => return ScoreEnd::AttemptsUsed,
--- a/crates/gateway/src/engine/start.rs
+++ b/crates/gateway/src/engine/start.rs
@@ -29,7 +29,7 @@
 
 impl Engine {
     pub(super) fn start(&mut self, key: &ItemKey, backend_id: &BackendId, urgency: u8) {
-        let Some(write_by) = self.context.write_by(&key.batch) else {
+        let Some(write_by) = self.context.write_deadline(&key.batch) else {
             return;
         };
         let now = self.context.now();
--- a/crates/gateway/src/failed_reads.rs
+++ b/crates/gateway/src/failed_reads.rs
@@ -25,7 +25,7 @@
     /// Why it failed.
     pub(crate) error: LogError,
     /// When those who go on asking ask again, all with one call.
-    pub(crate) again_at: Millis,
+    pub(crate) retry_at: Millis,
     /// Failures since the last success.
     in_a_row: u32,
 }
@@ -42,7 +42,7 @@
         let pause = (ASK_AGAIN_PAUSE * (1 << doublings)).mul_f64(rand::random_range(0.5..1.5));
         Self {
             error,
-            again_at: now + pause.as_millis() as Millis,
+            retry_at: now + pause.as_millis() as Millis,
             in_a_row,
         }
     }
@@ -55,24 +55,24 @@
     }
 
     /// A read failed.
-    pub(crate) fn note(&mut self, error: LogError, now: Millis) {
+    pub(crate) fn record_failure(&mut self, error: LogError, now: Millis) {
         self.last = Some(FailedRead::new(self.last, error, now));
         self.count += 1;
     }
 
     /// A read succeeded.
-    pub(crate) fn end(&mut self) {
+    pub(crate) fn record_success(&mut self) {
         self.last = None;
     }
 
     /// The last failure, if it came after so many and no read has succeeded since.
-    pub(crate) fn behind(&self, count: u64) -> Option<LogError> {
+    pub(crate) fn failure_since(&self, count: u64) -> Option<LogError> {
         let failed = self.last.filter(|_| self.count > count);
         failed.map(|failed| failed.error)
     }
 
     /// The last failure, while it is too early to ask again.
-    pub(crate) fn too_early_to_ask_again(&self, now: Millis) -> Option<FailedRead> {
-        self.last.filter(|failed| failed.again_at > now)
+    pub(crate) fn waiting_to_retry(&self, now: Millis) -> Option<FailedRead> {
+        self.last.filter(|failed| failed.retry_at > now)
     }
 }
--- a/crates/gateway/src/held_answers.rs
+++ b/crates/gateway/src/held_answers.rs
@@ -68,7 +68,7 @@
     }
 
     /// Bytes that they may hold together.
-    pub fn most_bytes(&self) -> usize {
+    pub fn max_bytes(&self) -> usize {
         self.most_bytes
     }
 
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -3,6 +3,7 @@
 //!
 //! The decisions are in `havenstage_rollout`; this crate joins them to the traits in [`edge`].
 
+pub mod accept_health;
 mod access;
 pub mod backends;
 mod batch_answer;
@@ -32,7 +33,6 @@
 mod fingerprint;
 pub mod followers;
 pub mod held_answers;
-pub mod intake;
 pub mod knowledge_metrics;
 pub mod lease_grant;
 pub mod log_writes;
@@ -44,13 +44,13 @@
 pub mod operator;
 mod order_exchange;
 pub mod order_run;
+mod partition_queries;
 mod peer_notices;
 pub mod peers;
-mod questions;
 pub mod relay;
-mod repeated_append;
 mod request_head;
 mod responses;
+mod retried_append;
 mod reward_pace;
 pub mod send;
 pub mod server;
--- a/crates/gateway/src/log_writes.rs
+++ b/crates/gateway/src/log_writes.rs
@@ -42,7 +42,7 @@
 
 /// Appends a sign of life of the lease for orders, which tells how much time has passed: it counts each
 /// time it stands in the stream.
-pub async fn append_sign_of_life(
+pub async fn append_heartbeat(
     context: &Context,
     record: &ControlRecord,
 ) -> Result<Appended, LogError> {
@@ -51,7 +51,7 @@
 }
 
 /// Appends a value that is told again soon, so that one that is not written needs only a line.
-pub async fn append_repeated<T: Stored>(
+pub async fn append_or_warn<T: Stored>(
     context: Arc<Context>,
     partition: StreamPartition,
     value: T,
--- a/crates/gateway/src/questions.rs
+++ b/crates/gateway/src/partition_queries.rs
@@ -27,13 +27,13 @@
 const MISSED: &str = "records were dropped before they were read here";
 
 /// Whether the log has answered this node a moment ago.
-pub(crate) fn is_in_touch(context: &Context) -> bool {
+pub(crate) fn is_log_reachable(context: &Context) -> bool {
     context.contact_age() < IN_TOUCH_MS
 }
 
 /// Until when to ask again for a caller that asked at `asked` and allows `wait`.
-pub(crate) fn deadline(context: &Context, asked: Instant, wait: Duration) -> Instant {
-    let patience = if is_in_touch(context) {
+pub(crate) fn retry_deadline(context: &Context, asked: Instant, wait: Duration) -> Instant {
+    let patience = if is_log_reachable(context) {
         PATIENCE
     } else {
         Duration::ZERO
@@ -43,7 +43,7 @@
 
 /// Makes sure that all that was in a batch's partition `most_age` ago is known here. Goes on when the
 /// caller drops it, up to the end of the partition or the first failure after `until`.
-pub(crate) async fn ask(
+pub(crate) async fn query(
     context: &Arc<Context>,
     batch: &BatchId,
     most_age: Duration,
@@ -66,18 +66,18 @@
 
 /// Makes sure that all that is in a batch's partition now is known here, for a caller that allows no wait; a
 /// failure is told.
-pub(crate) async fn ask_now(context: &Arc<Context>, batch: &BatchId) -> Result<(), LogError> {
+pub(crate) async fn query_now(context: &Arc<Context>, batch: &BatchId) -> Result<(), LogError> {
     let asked = Instant::now();
-    let until = deadline(context, asked, Duration::ZERO);
-    let outcome = ask(context, batch, Duration::ZERO, until).await;
-    outcome.inspect_err(|error| tell_refused(context, batch, *error, asked))
+    let until = retry_deadline(context, asked, Duration::ZERO);
+    let outcome = query(context, batch, Duration::ZERO, until).await;
+    outcome.inspect_err(|error| log_refused(context, batch, *error, asked))
 }
 
 /// What a node that has read a partition to its end says of a batch that it didn't find there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum NotFound {
+pub(crate) enum Absence {
     /// There is no such batch.
-    NotThere,
+    DoesNotExist,
     /// It may be there: records that were dropped before they were read here may have told of it.
     MayBeMissed,
     /// It may be there for this caller, of whom nothing is known yet.
@@ -86,13 +86,13 @@
 
 /// What is to be said of a batch that was not found in its partition, or not for its caller. Records that were dropped before this
 /// node read anything leave no trace in its copy, but a node that runs the batch says so.
-pub(crate) fn not_found(context: &Context, caller: &Caller, batch: &BatchId) -> NotFound {
+pub(crate) fn classify_absence(context: &Context, caller: &Caller, batch: &BatchId) -> Absence {
     let inner = context.partition_of(batch).lock();
     if inner.state.batch(batch).is_some() {
         return match caller {
-            Caller::Unverified => NotFound::MayBeHidden,
+            Caller::Unverified => Absence::MayBeHidden,
             // Another tenant's.
-            Caller::Anonymous | Caller::KeyHolder(_) => NotFound::NotThere,
+            Caller::Anonymous | Caller::KeyHolder(_) => Absence::DoesNotExist,
         };
     }
     let has_missed = inner.state.has_missed_records();
@@ -101,27 +101,27 @@
     let indexed = control.state.index().batch(batch);
     let is_run = indexed.is_some_and(|indexed| indexed.is_open() && indexed.was_found);
     match has_missed || is_run {
-        true => NotFound::MayBeMissed,
-        false => NotFound::NotThere,
+        true => Absence::MayBeMissed,
+        false => Absence::DoesNotExist,
     }
 }
 
 /// Tells that a call on a batch, made at `asked`, is refused since records of its partition were missed.
-pub(crate) fn tell_missed(context: &Context, batch: &BatchId, asked: Instant) {
-    tell(context, batch, MISSED, asked);
+pub(crate) fn log_missed(context: &Context, batch: &BatchId, asked: Instant) {
+    log_refusal(context, batch, MISSED, asked);
 }
 
 /// Tells that a call on a batch, made at `asked`, is refused since nothing is known yet of its caller.
-pub(crate) fn tell_hidden(context: &Context, batch: &BatchId, asked: Instant) {
-    tell(context, batch, HIDDEN, asked);
+pub(crate) fn log_hidden(context: &Context, batch: &BatchId, asked: Instant) {
+    log_refusal(context, batch, HIDDEN, asked);
 }
 
 /// Tells that a call on a batch, made at `asked`, is refused since the batch's partition could not be read.
-pub(crate) fn tell_refused(context: &Context, batch: &BatchId, error: LogError, asked: Instant) {
-    tell(context, batch, &error.to_string(), asked);
+pub(crate) fn log_refused(context: &Context, batch: &BatchId, error: LogError, asked: Instant) {
+    log_refusal(context, batch, &error.to_string(), asked);
 }
 
-fn tell(context: &Context, batch: &BatchId, reason: &str, asked: Instant) {
+fn log_refusal(context: &Context, batch: &BatchId, reason: &str, asked: Instant) {
     let partition = context.partition_of(batch).id.to_string();
     warn!(event = "read_refused", batch = batch.as_str(), partition = partition.as_str(),
         reason = reason, status = 503u16,
--- a/crates/gateway/src/peers/answers.rs
+++ b/crates/gateway/src/peers/answers.rs
@@ -11,7 +11,7 @@
 
 use crate::batch_answer::BatchAnswer;
 use crate::context::Context;
-use crate::{batch_ends, batch_reads, questions};
+use crate::{batch_ends, batch_reads, partition_queries};
 
 /// Time for the log to give a batch that was handed to this node a moment ago.
 const LOAD_PATIENCE: Duration = Duration::from_millis(500);
@@ -31,7 +31,7 @@
         return Err(PeerRefusal::OtherLife);
     }
     // It could not confirm anything, and the asking node may reach the log.
-    if !questions::is_in_touch(context) {
+    if !partition_queries::is_log_reachable(context) {
         return Err(PeerRefusal::NotConfirmed);
     }
     know(context, batch).await?;
@@ -58,7 +58,7 @@
         return Err(PeerRefusal::NotHere);
     }
     let until = Instant::now() + LOAD_PATIENCE;
-    let asked = questions::ask(context, batch, Duration::ZERO, until).await;
+    let asked = partition_queries::query(context, batch, Duration::ZERO, until).await;
     asked.map_err(|_| PeerRefusal::NotConfirmed)?;
     match context.holds(batch) {
         true => Ok(()),
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -111,10 +111,10 @@
 ) {
     loop {
         let Some(stream) = accept(&listener).await else {
-            context.intake.failed(context.now());
+            context.accept_health.record_failure(context.now());
             continue;
         };
-        context.intake.took_one();
+        context.accept_health.record_accept();
         let context = context.clone();
         let in_flight = in_flight.clone();
         let closing = closing.clone();
@@ -340,7 +340,7 @@
     context.routes().is_some()
         && !context.is_stopping()
         && context.contact_age() < READY_CONTACT_MS
-        && context.intake.works(context.now())
+        && context.accept_health.is_accepting(context.now())
 }
 
 /// A server for readers that may vanish without closing their connections.
--- a/crates/gateway/src/stream_view.rs
+++ b/crates/gateway/src/stream_view.rs
@@ -378,9 +378,9 @@
             if self.lock().is_known_since(oldest) {
                 return Ok(());
             }
-            let failed = self.lock().failed.too_early_to_ask_again(clock.now());
+            let failed = self.lock().failed.waiting_to_retry(clock.now());
             if let Some(failed) = failed {
-                let pause = Duration::from_millis(failed.again_at.saturating_sub(clock.now()));
+                let pause = Duration::from_millis(failed.retry_at.saturating_sub(clock.now()));
                 if Instant::now() + pause >= until {
                     return Err(failed.error);
                 }
@@ -406,7 +406,7 @@
             return Ok(());
         }
         let _turn = self.confirming.lock().await;
-        if let Some(error) = self.lock().failed.behind(failures) {
+        if let Some(error) = self.lock().failed.failure_since(failures) {
             return Err(error);
         }
         while !self.lock().is_known_since(oldest) {
@@ -415,14 +415,14 @@
             match log.read(self.id, from, Duration::ZERO).await {
                 Ok(page) => {
                     self.take_page(page, asked, clock.now());
-                    self.lock().failed.end();
+                    self.lock().failed.record_success();
                 }
                 // One that leads no further is a failure, else this loop would never end.
                 Err(LogError::HistoryDropped { first }) if first > from => {
                     self.skip_to(first, clock.now());
                 }
                 Err(error) => {
-                    self.lock().failed.note(error, clock.now());
+                    self.lock().failed.record_failure(error, clock.now());
                     return Err(error);
                 }
             }
--- a/crates/gateway/tests/dropped_history.rs
+++ b/crates/gateway/tests/dropped_history.rs
@@ -56,7 +56,7 @@
 async fn a_partition_that_is_told_to_be_dropped_is_asked_for_with_pauses() {
     let deployment = Deployment::start(0, 1).await;
     let faults = LogFaults {
-        drops_what_it_keeps: true,
+        reports_kept_as_dropped: true,
         ..LogFaults::default()
     };
     let node = node_with(&deployment, faults).await;
--- a/crates/gateway/tests/ended_batches.rs
+++ b/crates/gateway/tests/ended_batches.rs
@@ -232,7 +232,7 @@
     assert_eq!(submit(node.callers, "batch", &body).await, 202);
     let context = node.context().clone();
     wait_until("the batch is known", || {
-        context.write_by(&"batch".into()).is_some()
+        context.write_deadline(&"batch".into()).is_some()
     })
     .await;
     let table = context.routes().unwrap();
@@ -254,7 +254,7 @@
         wait_until("the call came", || !arrivals(&deployment).is_empty()).await;
         end_at(&node).await;
         wait_until("the end is known", || {
-            context.write_by(&"batch".into()).is_none()
+            context.write_deadline(&"batch".into()).is_none()
         })
         .await;
         Instant::now()
--- a/crates/gateway/tests/knowledge_age.rs
+++ b/crates/gateway/tests/knowledge_age.rs
@@ -37,7 +37,7 @@
     let node = deployment.node("a").await;
     let body = write_batch(1, &[("item", "g")], false);
     assert_eq!(submit(node.callers, "batch", &body).await, 202);
-    let write_by = || node.context().write_by(&"batch".into());
+    let write_by = || node.context().write_deadline(&"batch".into());
     wait_until("the batch is known", || write_by().is_some()).await;
     stop_reading(&node);
     let latest = Instant::now() + share_of_in_force(&node, WRITE_SHARE);
--- a/crates/gateway/tests/orders.rs
+++ b/crates/gateway/tests/orders.rs
@@ -179,7 +179,7 @@
     let node = deployment.node("a").await;
     wait_until("the node holds the lease", || holder(&node).is_some()).await;
     node.set_faults(LogFaults {
-        late_answers_to_orders: Duration::from_millis(900),
+        order_answer_delay: Duration::from_millis(900),
         ..LogFaults::default()
     });
     name_version(&deployment.log, 2);
--- a/crates/gateway/tests/restart.rs
+++ b/crates/gateway/tests/restart.rs
@@ -128,7 +128,7 @@
     assert_eq!(status, 202);
     append_heartbeats(&deployment).await;
     wait_until("a checkpoint behind the long history is written", || {
-        deployment.log.checkpointed() >= LONG_HISTORY as u64
+        deployment.log.checkpoint_offset() >= LONG_HISTORY as u64
     })
     .await;
     let held = deployment.log.bytes_of(CONTROL);
--- a/crates/gateway/tests/slow_readers.rs
+++ b/crates/gateway/tests/slow_readers.rs
@@ -59,7 +59,7 @@
     let deployment = Deployment::start(2, 0).await;
     let node = node_with_results(&deployment).await;
     let answers = &node.context().answers;
-    assert_eq!(answers.most_bytes(), 40_000_000);
+    assert_eq!(answers.max_bytes(), 40_000_000);
     let mut readers = Vec::new();
     for _ in 0..READERS {
         readers.push(ask_and_wait(node.callers).await);
@@ -67,7 +67,7 @@
     let held = || answers.bytes();
     wait_until("answers are held", || held() > 10_000_000).await;
     for _ in 0..100 {
-        assert!(held() <= answers.most_bytes(), "{}", held());
+        assert!(held() <= answers.max_bytes(), "{}", held());
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     let (status, body) = read_from(node.callers, 0).await;
--- a/crates/gateway/tests/support/log.rs
+++ b/crates/gateway/tests/support/log.rs
@@ -143,7 +143,7 @@
     }
 
     /// Offset up to which the newest checkpoint of the control stream goes.
-    pub fn checkpointed(&self) -> u64 {
+    pub fn checkpoint_offset(&self) -> u64 {
         let checkpoint = self.store.checkpoint("control");
         checkpoint.map_or(0, |value| ControlCheckpoint::decode(&value).unwrap().next)
     }
@@ -303,7 +303,7 @@
             tokio::time::sleep(SLOW_APPEND).await;
         }
         let answer_delay = match is_order(partition, &records) {
-            true => self.faults().late_answers_to_orders,
+            true => self.faults().order_answer_delay,
             false => Duration::ZERO,
         };
         let appended = self.shared.append_now(partition, records)?;
@@ -324,7 +324,7 @@
         self.reads.fetch_add(1, Ordering::Relaxed);
         self.check_readable().await?;
         self.let_read_in().await?;
-        if self.faults().drops_what_it_keeps {
+        if self.faults().reports_kept_as_dropped {
             tokio::time::sleep(AT_ONCE).await;
             return Err(LogError::HistoryDropped { first: from });
         }
--- a/crates/gateway/tests/support/log_faults.rs
+++ b/crates/gateway/tests/support/log_faults.rs
@@ -20,7 +20,7 @@
     /// Reads are refused at once because too many calls are made.
     pub throttles_reads: bool,
     /// Orders are written down at once, and the answer takes so long.
-    pub late_answers_to_orders: Duration,
+    pub order_answer_delay: Duration,
     /// Appends take a while.
     pub slow_appends: bool,
     /// Appends of batches take a while; others do not.
@@ -42,5 +42,5 @@
     /// Changes of directories are told to be dropped, also those behind the listing before.
     pub drops_changes: bool,
     /// Records of partitions are told to be dropped, though the first one kept is the one asked for.
-    pub drops_what_it_keeps: bool,
+    pub reports_kept_as_dropped: bool,
 }
--- a/crates/gateway/tests/suspended.rs
+++ b/crates/gateway/tests/suspended.rs
@@ -36,7 +36,12 @@
     let context = node.context().clone();
     let (before, after) = node
         .on_its_thread(move || {
-            let look = || (context.write_by(&"batch".into()).is_some(), context.now());
+            let look = || {
+                (
+                    context.write_deadline(&"batch".into()).is_some(),
+                    context.now(),
+                )
+            };
             let before = look();
             suspension::suspend_this_thread(SUSPENDED);
             (before, (look(), context.contact_age()))
@@ -105,7 +110,7 @@
     tokio::time::sleep(Duration::from_millis(300)).await;
     let late = Duration::from_millis(300);
     node.set_faults(LogFaults {
-        late_answers_to_orders: late,
+        order_answer_delay: late,
         ..LogFaults::default()
     });
     let named = DirectoryEntry::NamedVersion {
