--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -51,7 +51,7 @@
 mod request_head;
 mod responses;
 mod retried_append;
-mod reward_pace;
+mod reward_limiter;
 pub mod send;
 pub mod server;
 pub mod settings;
--- a/crates/gateway/src/send.rs
+++ b/crates/gateway/src/send.rs
@@ -28,7 +28,7 @@
 const CUT_SHORT: &str = "cut_short";
 /// Time without a head after which a kept connection may count as silent, for work that would be begun
 /// anew: an engine reads the input before it answers.
-pub(crate) const HEAD_PATIENCE: Duration = Duration::from_millis(600);
+pub(crate) const HEAD_SILENCE_TIMEOUT: Duration = Duration::from_millis(600);
 /// Outcome of a send without an answer.
 pub(crate) const SILENT: &str = "silent";
 
@@ -50,7 +50,9 @@
             sending = sending.over_one_heard_since(moment);
         }
         if self.ends_when_silent {
-            sending = sending.patient_for(HEAD_PATIENCE).ended_when_silent();
+            sending = sending
+                .patient_for(HEAD_SILENCE_TIMEOUT)
+                .ended_when_silent();
         }
         sending
     }
@@ -105,13 +107,13 @@
     match &outcome {
         SendOutcome::Answered(answer) => {
             let is_success = answer.status.is_success();
-            crash_guard::answered(context, &backend, is_success, || call.fingerprint());
+            crash_guard::record_answer(context, &backend, is_success, || call.fingerprint());
         }
         SendOutcome::MayHaveRun(BROKEN | CUT_SHORT) => {
-            crash_evidence::send_broke(context, unanswered(call, backend, link)).await;
+            crash_evidence::check_broken_send(context, unanswered(call, backend, link)).await;
         }
         SendOutcome::MayHaveRun(SILENT) => {
-            crash_evidence::send_given_up(context, unanswered(call, backend, link));
+            crash_evidence::watch_given_up_send(context, unanswered(call, backend, link));
         }
         SendOutcome::Streaming(_) | SendOutcome::NotRun(_) | SendOutcome::MayHaveRun(_) => {}
     }
