--- a/crates/gateway/src/coordinator/mod.rs
+++ b/crates/gateway/src/coordinator/mod.rs
@@ -249,7 +249,7 @@
             Some(report) => {
                 let mut backends = self.context.backends.lock();
                 for (model, version) in &report.models {
-                    backends.saw_version(&outcome.backend, model, *version);
+                    backends.record_version(&outcome.backend, model, *version);
                 }
                 drop(backends);
                 self.accepted_orders
--- a/crates/gateway/src/engine/barred.rs
+++ b/crates/gateway/src/engine/barred.rs
@@ -1,5 +1,6 @@
-//! Items under which back ends ended: they wait until the bar is lifted, their batch ends, or they may be
-//! given up, and take no place meanwhile. So do those whose ends no other node could be told of yet.
+//! Keeps items from running that are suspected of crashing back ends. A barred item takes no slot; it waits until
+//! its bar is lifted, its batch ends, or it is given up. The same holds while a suspected item awaits reports of
+//! other nodes, and while this node could not yet report its ends (the crashes during it) to another node.
 
 use std::collections::HashSet;
 
@@ -12,11 +13,12 @@
 use crate::crash_guard;
 use crate::fingerprint;
 
-/// Barred items that are remembered as told; behind these each is told once more.
-const MOST_TOLD: usize = 1_024;
+/// Maximum number of items remembered as logged. Beyond it the engine forgets them all, so an item that is still
+/// barred is logged once more.
+const MAX_LOGGED_BARRED: usize = 1_024;
 
 impl Engine {
-    /// Those of the waiting items that must not be run, or not yet.
+    /// Those of the waiting items that must not run now.
     pub(super) fn barred_items(&mut self, waiting: &[WaitingItem]) -> HashSet<ItemKey> {
         let may_bar = self
             .context
@@ -40,7 +42,7 @@
             }
             match crash_guard::suspicion(&self.context, &request) {
                 Suspicion::Barred { .. } => {
-                    self.tell_barred(&key, &request);
+                    self.log_barred(&key, &request);
                     barred.insert(key);
                 }
                 Suspicion::Suspected { runs_left: 0, .. } => {
@@ -60,11 +62,11 @@
         Some(fingerprint::of_item(&batch.host, spec))
     }
 
-    fn tell_barred(&mut self, key: &ItemKey, request: &Fingerprint) {
-        if self.told_barred.len() >= MOST_TOLD {
-            self.told_barred.clear();
+    fn log_barred(&mut self, key: &ItemKey, request: &Fingerprint) {
+        if self.logged_barred.len() >= MAX_LOGGED_BARRED {
+            self.logged_barred.clear();
         }
-        if self.told_barred.insert(key.clone()) {
+        if self.logged_barred.insert(key.clone()) {
             crash_guard::record_barred_retry(&self.context, request, key.item.as_str());
         }
     }
--- a/crates/gateway/tests/peers.rs
+++ b/crates/gateway/tests/peers.rs
@@ -112,7 +112,7 @@
 #[tokio::test]
 async fn a_silent_owner_delays_reads_only_briefly() {
     let (_deployment, owner, reader) = owner_and_reader(LONG_PAUSE).await;
-    owner.hold(Duration::from_secs(4)).await;
+    owner.block_thread(Duration::from_secs(4)).await;
     for _ in 0..2 {
         let began = Instant::now();
         assert_eq!(results(reader.callers, "batch", 0).await, (200, Vec::new()));
@@ -297,8 +297,8 @@
     settings.regions = [("zone", "north"), ("far", "south")]
         .map(|(zone, region)| (zone.to_owned(), region.to_owned()))
         .into();
-    let owner = TestNode::start_so(NodeLog::new(&deployment.log), settings).await;
-    owner.knows(1).await;
+    let owner = TestNode::start_with_settings(NodeLog::new(&deployment.log), settings).await;
+    owner.wait_until_known(1).await;
     submit_to_owner(&owner, "batch", &batch()).await;
     let near = request(&owner, "batch", results_from(0, 0));
     assert!(matches!(
