--- a/crates/gateway/src/batch_answer.rs
+++ b/crates/gateway/src/batch_answer.rs
@@ -1,16 +1,17 @@
-//! The answer to a caller's call on batches.
+//! The outcome of a batch API call, before it becomes an HTTP response.
 
 use bytes::Bytes;
 use http::StatusCode;
 
-/// The answer to a call on batches.
+/// Status and body with which a batch API call is answered.
 #[derive(Debug, Clone)]
 pub(crate) struct BatchAnswer {
-    /// Status.
+    /// HTTP status of the response.
     pub(crate) status: StatusCode,
-    /// Body.
+    /// Response body; empty unless the call succeeded and returns data.
     pub(crate) body: Bytes,
-    /// Whether the body is in the gateway's own format, not the caller's bytes.
+    /// Whether the gateway wrote the body in its own format, so that the response states the content type; false for
+    /// bytes that the caller submitted.
     pub(crate) is_own_format: bool,
 }
 
--- a/crates/gateway/src/batch_ends.rs
+++ b/crates/gateway/src/batch_ends.rs
@@ -1,4 +1,4 @@
-//! Callers' calls that end a batch.
+//! Calls by which callers end a batch.
 
 use std::sync::Arc;
 
@@ -18,16 +18,16 @@
 use crate::peers::{self, OwnerEndOutcome};
 use crate::retried_append::{AppendFor, AppendOutcome, append};
 
-/// What came of a call that ends a batch.
+/// Outcome of a call that ends a batch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum EndOutcome {
-    /// Its end was known to be in the log.
+    /// This node already knows an end of the batch from the log.
     AlreadyEnded,
-    /// Its end was appended.
+    /// The log has acknowledged the record of the end.
     Appended,
-    /// It was never handed in.
-    NotThere,
-    /// Its end was not acknowledged; where that says so, it may have been appended all the same.
+    /// No such batch exists for this caller.
+    DoesNotExist,
+    /// The log has not acknowledged the record of the end; `may_be_done` says whether it may hold the record anyway.
     NotAppended { may_be_done: bool },
 }
 
@@ -36,7 +36,7 @@
         match self {
             Self::AlreadyEnded => "already_ended",
             Self::Appended => "appended",
-            Self::NotThere => "not_there",
+            Self::DoesNotExist => "not_there",
             Self::NotAppended { .. } => "not_appended",
         }
     }
@@ -44,14 +44,15 @@
     fn status(self) -> StatusCode {
         match self {
             Self::AlreadyEnded | Self::Appended => StatusCode::OK,
-            Self::NotThere => StatusCode::NOT_FOUND,
+            Self::DoesNotExist => StatusCode::NOT_FOUND,
             Self::NotAppended { may_be_done: false } => StatusCode::SERVICE_UNAVAILABLE,
             Self::NotAppended { may_be_done: true } => StatusCode::GATEWAY_TIMEOUT,
         }
     }
 }
 
-/// Ends a batch.
+/// Ends a batch for a caller of this node; if the end was certainly not appended here, the batch owner is asked to
+/// append it.
 pub(crate) async fn end(context: &Arc<Context>, caller: &Caller, id: &BatchId) -> BatchAnswer {
     let began = Instant::now();
     let outcome = match try_to_end(context, caller, id, AppendFor::Caller).await {
@@ -66,7 +67,7 @@
     BatchAnswer::empty(status)
 }
 
-/// Passes an end that was certainly not appended here to the node that runs the batch.
+/// Forwards an end that was certainly not appended here to the batch owner.
 async fn end_at_owner(
     context: &Context,
     caller: &Caller,
@@ -80,7 +81,7 @@
     }
 }
 
-/// Ends a batch for another node. It is not passed on.
+/// Ends a batch for another node. The request is not forwarded again.
 pub(crate) async fn end_for_peer(
     context: &Arc<Context>,
     caller: &Caller,
@@ -91,7 +92,7 @@
             body: Bytes::new(),
             is_own_format: false,
         },
-        EndOutcome::NotThere => PeerAnswer::Declined(PeerRefusal::NotHere),
+        EndOutcome::DoesNotExist => PeerAnswer::Declined(PeerRefusal::NotHere),
         EndOutcome::NotAppended { may_be_done: true } => PeerAnswer::MayBeDone,
         EndOutcome::NotAppended { may_be_done: false } => {
             PeerAnswer::Declined(PeerRefusal::NotConfirmed)
@@ -99,30 +100,30 @@
     }
 }
 
-/// A batch that some node runs is ended without being read here: reading may take seconds when all nodes
-/// have just started, in which its items would go on.
+/// Appends the end of a batch, without reading the batch's partition first if some node is known to have found the
+/// batch there: when all nodes have just started, reading may take seconds, in which the batch's items would run on.
 async fn try_to_end(
     context: &Arc<Context>,
     caller: &Caller,
     id: &BatchId,
-    whom: AppendFor,
+    requester: AppendFor,
 ) -> EndOutcome {
-    // Whether an end of a caller that nothing is known of counts is told by the batch itself: it must be read.
+    // Whether an unverified caller may end the batch depends on the batch's tenant, so the batch must be read.
     let is_verified = *caller != Caller::Unverified;
-    if is_verified && was_found_in_the_log(context, id) {
-        return append_end(context, caller, id, whom).await;
+    if is_verified && is_known_in_log(context, id) {
+        return append_end(context, caller, id, requester).await;
     }
-    let asked = Instant::now();
+    let asked_at = Instant::now();
     match partition_queries::query_now(context, id).await {
-        Ok(()) => append_end_if_known(context, caller, id, asked, whom).await,
-        // That the partition could not be read was told, with the reason.
+        Ok(()) => append_end_if_known(context, caller, id, asked_at, requester).await,
+        // `query_now` has logged why the partition could not be read.
         Err(_) => EndOutcome::NotAppended { may_be_done: false },
     }
 }
 
-/// Whether a node is known to have found the batch in its partition, so that an end appended now lies
-/// behind it and counts.
-fn was_found_in_the_log(context: &Context, id: &BatchId) -> bool {
+/// Whether some node is known to have found the batch in its partition, so that an end appended now follows the
+/// submission and takes effect.
+fn is_known_in_log(context: &Context, id: &BatchId) -> bool {
     if context.partition_of(id).lock().state.batch(id).is_some() {
         return true;
     }
@@ -135,35 +136,36 @@
     context: &Context,
     caller: &Caller,
     id: &BatchId,
-    asked: Instant,
-    whom: AppendFor,
+    asked_at: Instant,
+    requester: AppendFor,
 ) -> EndOutcome {
-    // A heartbeat may have named it while the log was asked.
-    let lies_here = context.partition_of(id).lock().state.batch(id).is_some();
+    // A heartbeat may have named the batch while its partition was read.
+    let is_read_here = context.partition_of(id).lock().state.batch(id).is_some();
     let is_verified = *caller != Caller::Unverified;
-    if lies_here || is_verified && was_found_in_the_log(context, id) {
-        return append_end(context, caller, id, whom).await;
+    if is_read_here || is_verified && is_known_in_log(context, id) {
+        return append_end(context, caller, id, requester).await;
     }
     match partition_queries::classify_absence(context, caller, id) {
-        Absence::DoesNotExist => EndOutcome::NotThere,
+        Absence::DoesNotExist => EndOutcome::DoesNotExist,
         Absence::MayBeHidden => {
-            partition_queries::log_hidden(context, id, asked);
+            partition_queries::log_hidden(context, id, asked_at);
             EndOutcome::NotAppended { may_be_done: false }
         }
         Absence::MayBeMissed => {
-            partition_queries::log_missed(context, id, asked);
+            partition_queries::log_missed(context, id, asked_at);
             EndOutcome::NotAppended { may_be_done: false }
         }
     }
 }
 
-/// Appends the end of a batch that lies in the log, unless it is known to be there. Where the batch belongs
-/// to a tenant, the fold decides whether this caller's end counts: the batch need not be read here.
+/// Appends the end of a batch that is in the log, unless the outcome is already known here. If the batch belongs to a
+/// tenant, each node decides when it applies the record whether this caller may end the batch, so the batch need not
+/// be read here.
 async fn append_end(
     context: &Context,
     caller: &Caller,
     id: &BatchId,
-    whom: AppendFor,
+    requester: AppendFor,
 ) -> EndOutcome {
     let partition = context.partition_of(id);
     if let Some(outcome) = known_outcome(context, caller, id) {
@@ -176,7 +178,7 @@
             batch: id.clone(),
         },
     };
-    match append(context, partition, &record.encode(), whom).await {
+    match append(context, partition, &record.encode(), requester).await {
         AppendOutcome::Done => EndOutcome::Appended,
         AppendOutcome::NotDone | AppendOutcome::TooLarge => {
             EndOutcome::NotAppended { may_be_done: false }
@@ -185,13 +187,13 @@
     }
 }
 
-/// What comes of an end without an append, if what is known here of the batch tells that.
+/// The outcome of an end, if what this node knows of the batch decides it without an append.
 fn known_outcome(context: &Context, caller: &Caller, id: &BatchId) -> Option<EndOutcome> {
     let inner = context.partition_of(id).lock();
     match inner.state.batch(id)? {
         batch if !caller.can_see(batch.tenant.as_ref()) => Some(match caller {
             Caller::Unverified => EndOutcome::NotAppended { may_be_done: false },
-            Caller::Anonymous | Caller::KeyHolder(_) => EndOutcome::NotThere,
+            Caller::Anonymous | Caller::KeyHolder(_) => EndOutcome::DoesNotExist,
         }),
         batch if batch.ended => Some(EndOutcome::AlreadyEnded),
         _ => None,
--- a/crates/gateway/src/batch_partitions.rs
+++ b/crates/gateway/src/batch_partitions.rs
@@ -1,4 +1,4 @@
-//! The partitions of batches, and which of them this node follows.
+//! The log partitions that hold batches, and which of them this node follows.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -12,20 +12,20 @@
 use crate::settings::LogSettings;
 use crate::stream_view::StreamView;
 
-/// A partition of batches as this node knows it.
+/// The state of one batch partition, as far as this node has read it.
 pub type BatchView = StreamView<PartitionState>;
 
-/// All partitions of batches, by index.
+/// All batch partitions, by index.
 pub struct BatchPartitions {
     views: Vec<BatchView>,
-    /// Those that this node's own work needs.
+    /// Indices of the partitions that this node's own work needs.
     needed: Mutex<BTreeSet<usize>>,
     follow_requests: mpsc::UnboundedSender<usize>,
     new_follow_requests: Mutex<Option<mpsc::UnboundedReceiver<usize>>>,
 }
 
 impl BatchPartitions {
-    /// Partitions of which nothing was read yet; changes wake `wakes`.
+    /// Creates all partitions, with nothing read yet; each change of a partition notifies `wakes`.
     pub fn new(log: &LogSettings, wakes: &Arc<Notify>) -> Self {
         let (follow_requests, new_follow_requests) = mpsc::unbounded_channel();
         let views =
@@ -38,12 +38,12 @@
         }
     }
 
-    /// All partitions.
+    /// All partitions, in the order of their indices.
     pub fn iter(&self) -> impl Iterator<Item = &BatchView> {
         self.views.iter()
     }
 
-    /// The partition with an index.
+    /// The partition with an index; panics if there is none.
     pub fn at(&self, index: usize) -> &BatchView {
         &self.views[index]
     }
@@ -58,18 +58,18 @@
         self.at(self.index_of(batch))
     }
 
-    /// Says which partitions this node's own work needs: they are followed, and the others only while
-    /// somebody asks about them.
+    /// Sets which partitions this node's own work needs: these are followed all the time, the others only while callers
+    /// ask about their batches.
     pub fn set_needed(&self, needed: BTreeSet<usize>) {
-        let mut before = self.needed.lock().unwrap_or_else(PoisonError::into_inner);
-        for index in before.difference(&needed) {
+        let mut previous = self.needed.lock().unwrap_or_else(PoisonError::into_inner);
+        for index in previous.difference(&needed) {
             self.views[*index].set_needed(false);
         }
-        for index in needed.difference(&before) {
+        for index in needed.difference(&previous) {
             self.views[*index].set_needed(true);
             self.request_follower(*index);
         }
-        *before = needed;
+        *previous = needed;
     }
 
     /// Indices of the partitions that this node's own work needs.
@@ -78,7 +78,8 @@
         needed.iter().copied().collect()
     }
 
-    /// Whether the partitions that this node's own work needs have been read up to this time.
+    /// Whether all partitions that this node's own work needs have been read up to `now`, milliseconds of the node's
+    /// clock.
     pub fn are_needed_current(&self, now: Millis) -> bool {
         let needed = self.needed();
         needed
@@ -86,7 +87,7 @@
             .all(|index| !self.views[*index].is_behind(now))
     }
 
-    /// Somebody waits for news of a batch: its partition is followed for a while.
+    /// Follows a batch's partition for a while, since a caller waits for changes of the batch.
     pub fn want(&self, batch: &BatchId, now: Millis) {
         let index = self.index_of(batch);
         self.views[index].want(now);
@@ -104,8 +105,8 @@
         let _ = self.follow_requests.send(index);
     }
 
-    /// Forgets what was first seen before `before`: closed batches where a task follows a partition, and
-    /// whole partitions that nobody follows.
+    /// Forgets state that was first seen before `before`: closed batches of partitions that a task follows, and the
+    /// whole state of partitions that no task follows.
     pub fn forget_before(&self, before: Millis, now: Millis) {
         for (index, view) in self.views.iter().enumerate() {
             if !view.begin_following() {
@@ -113,14 +114,15 @@
                 continue;
             }
             view.forget_if_older_than(before);
-            // Somebody may have asked for a task meanwhile, and found this one in its place.
+            // `begin_following` above marked the partition as followed; a caller that asked for a follower in the
+            // meantime started none because of that, so one is started now.
             if !view.end_following(now) {
                 self.send_follow_request(index);
             }
         }
     }
 
-    /// Indices of partitions that need a task to follow them; `None` for all but the first caller.
+    /// The channel that delivers indices of partitions that need a task to follow them; `None` after the first call.
     pub fn take_follow_requests(&self) -> Option<mpsc::UnboundedReceiver<usize>> {
         let mut requests = self
             .new_follow_requests
@@ -130,7 +132,7 @@
     }
 }
 
-/// The partitions over which batches are spread.
+/// All partitions of all batch streams.
 fn partitions(log: &LogSettings) -> impl Iterator<Item = StreamPartition> {
     let partitions = log.partitions;
     (0..log.batch_streams).flat_map(move |number| {
--- a/crates/gateway/src/batch_server.rs
+++ b/crates/gateway/src/batch_server.rs
@@ -1,4 +1,4 @@
-//! Callers' HTTP calls on batches.
+//! The HTTP handlers of the batch API.
 
 use std::sync::Arc;
 
@@ -19,7 +19,8 @@
 use crate::responses::{Body, DEFAULT_RETRY_AFTER, empty_response, full_body, refuse};
 use crate::{access, batch_ends, batch_reads, batch_submissions};
 
-/// Tells of a caller that left before its answer: its call is dropped then, wherever it stands.
+/// Logs on drop that a caller disconnected before its answer was ready: the future that handles the call is dropped
+/// then, at whichever await point it is.
 struct WaitingCaller {
     kind: &'static str,
     batch: String,
@@ -51,7 +52,7 @@
     }
 }
 
-/// Takes a batch that is handed in.
+/// Handles a call that submits a batch.
 pub(crate) async fn handle_submission(
     context: &Arc<Context>,
     caller: &Caller,
@@ -68,7 +69,7 @@
     };
     let host = &request_host(head).unwrap_or_default();
     let path = head.uri.path();
-    let waits = WaitingCaller::new("submit", id, began);
+    let waiting_caller = WaitingCaller::new("submit", id, began);
     let read = context
         .dialect
         .read_submission(BatchId::from(id), host, path, &body);
@@ -80,11 +81,11 @@
             BatchAnswer::empty(StatusCode::BAD_REQUEST)
         }
     };
-    waits.answered();
+    waiting_caller.answered();
     batch_response(context, "submit", answer, began)
 }
 
-/// Answers a call on a batch that was handed in.
+/// Handles a call on a submitted batch: a read of results, a read of an item's body, or an end.
 pub(crate) async fn handle_batch_call(
     context: &Arc<Context>,
     head: &Parts,
@@ -98,22 +99,22 @@
     match call {
         BatchCall::Read { batch, from } => {
             let wait = header_ms(&head.headers, &context.dialect.headers().wait_ms);
-            let waits = WaitingCaller::new("read", batch.as_str(), began);
+            let waiting_caller = WaitingCaller::new("read", batch.as_str(), began);
             let wait = wait.unwrap_or_default();
             let answer = batch_reads::read(context, &caller, &batch, from, wait).await;
-            waits.answered();
+            waiting_caller.answered();
             batch_response(context, "read", answer, began)
         }
         BatchCall::ItemBody { batch, item } => {
-            let waits = WaitingCaller::new("item", batch.as_str(), began);
+            let waiting_caller = WaitingCaller::new("item", batch.as_str(), began);
             let answer = batch_reads::item_body(context, &caller, &batch, &item).await;
-            waits.answered();
+            waiting_caller.answered();
             batch_response(context, "item", answer, began)
         }
         BatchCall::End { batch } => {
-            let waits = WaitingCaller::new("end", batch.as_str(), began);
+            let waiting_caller = WaitingCaller::new("end", batch.as_str(), began);
             let answer = batch_ends::end(context, &caller, &batch).await;
-            waits.answered();
+            waiting_caller.answered();
             batch_response(context, "end", answer, began)
         }
         BatchCall::Malformed => empty_response(StatusCode::BAD_REQUEST),
--- a/crates/gateway/src/batch_submissions.rs
+++ b/crates/gateway/src/batch_submissions.rs
@@ -1,7 +1,7 @@
-//! Callers' calls that hand in a batch.
+//! Calls by which callers submit a batch.
 //!
-//! Accepted means appended: the batch to its partition, and the notice of it to the stream that all
-//! nodes read.
+//! A batch is accepted once two appends are acknowledged: the batch in its partition, and the notice of it in the
+//! control stream, which all nodes read.
 
 use std::sync::Arc;
 
@@ -19,10 +19,10 @@
 use crate::context::Context;
 use crate::retried_append::{AppendFor, AppendOutcome, append};
 
-/// Age of a sign of life up to which its node is taken to be alive.
-const ALIVE_MS: Millis = 700;
+/// Age of a node's last heartbeat up to which the node counts as alive.
+const MAX_HEARTBEAT_AGE_MS: Millis = 700;
 
-/// Hands in a batch, which belongs to the tenant whose key its caller presented.
+/// Submits a batch, which belongs to the tenant whose key its caller presented; `None` for a caller without a key.
 pub(crate) async fn submit(
     context: &Arc<Context>,
     submission: Submission,
@@ -42,25 +42,25 @@
         info!(event = "batch_repeated", batch = id.as_str(), status = 202u16; "");
         return BatchAnswer::empty(StatusCode::ACCEPTED);
     }
-    let status = write_down(context, submission, tenant).await;
+    let status = append_submission(context, submission, tenant).await;
     info!(event = "batch_submitted", batch = id.as_str(), partition = partition.id.to_string().as_str(),
         tenant = tenant.map_or("", TenantName::as_str), items = items, step = step, desired_groups = desired_groups,
         minimum_version = minimum_version, status = status.as_u16(); "");
     BatchAnswer::empty(status)
 }
 
-/// Whether a batch is known to be there whole: its items, and the notice of it to all nodes.
+/// Whether this node knows that both the items of a batch and the notice of it are in the log.
 fn is_accepted(context: &Context, batch: &BatchId) -> bool {
-    let is_noticed = context.control.lock().state.index().batch(batch).is_some();
+    let has_notice = context.control.lock().state.index().batch(batch).is_some();
     let partition = context.partition_of(batch);
-    is_noticed && partition.lock().state.batch(batch).is_some()
+    has_notice && partition.lock().state.batch(batch).is_some()
 }
 
-/// Appends a batch to its partition, and then the notice of it to the stream that all nodes read; both
-/// must be there before it is accepted. An owner that reads the partition before the items are there
-/// would see them late: the store need not wake a reader of a topic that is created while it waits.
-/// "Not run" is true if the items were certainly not appended, since nobody is told of them then.
-async fn write_down(
+/// Appends a batch to its partition and then the notice of it to the control stream; the batch is accepted only once
+/// both are in the log. The items come first: an owner that reads the partition before the items are there would see
+/// them late, since the store need not wake a reader of a topic that is created while the reader waits. If the items
+/// were certainly not appended, no notice is appended either, so the refusal's statement that nothing was run holds.
+async fn append_submission(
     context: &Arc<Context>,
     submission: Submission,
     tenant: Option<&TenantName>,
@@ -73,19 +73,19 @@
     match items {
         AppendOutcome::TooLarge => return StatusCode::PAYLOAD_TOO_LARGE,
         AppendOutcome::NotDone => return StatusCode::SERVICE_UNAVAILABLE,
-        // Items that may be there are run if they are.
+        // If the outcome is unknown, the notice is appended too, so that items that are there are run.
         AppendOutcome::Done | AppendOutcome::Unknown => {}
     }
-    let told = append(
+    let notice_outcome = append(
         context,
         &context.control,
         &notice.encode(),
         AppendFor::Caller,
     )
     .await;
-    // This node hears of it at once, in case it is the owner.
+    // This node reads the notice at once, in case it is the owner.
     context.control.want(context.now());
-    match (items, told) {
+    match (items, notice_outcome) {
         (AppendOutcome::Done, AppendOutcome::Done) => StatusCode::ACCEPTED,
         _ => StatusCode::GATEWAY_TIMEOUT,
     }
@@ -107,9 +107,9 @@
     }
 }
 
-/// The node that runs the batch from the start: the one that ran the route's last batch, if it was
-/// seen a moment ago, since it has connections to the back ends; else this one. A node that stops
-/// leaves the batch to the others, and so does one in a region where the batch may not be kept.
+/// The node that is to own the batch from the start: the one that ran the route's last batch, if its heartbeat is
+/// recent, since it has connections to the back ends; otherwise this node. `None` leaves the batch to whichever other
+/// node claims it: if this node is stopping, or is in a region where the batch may not be kept.
 fn first_owner(
     context: &Context,
     submission: &Submission,
@@ -118,7 +118,7 @@
     let residency = context.batch_residency(&submission.host, &submission.path, tenant);
     let is_allowed = residency.allows(context.own_region().as_ref());
     let may_own = is_allowed && !context.is_stopping();
-    // Other nodes' regions are not known here.
+    // This node does not know the regions of other nodes.
     let last_owner = match residency.is_restricted() {
         true => None,
         false => last_owner(context, submission),
@@ -127,7 +127,7 @@
 }
 
 fn last_owner(context: &Context, submission: &Submission) -> Option<NodeId> {
-    let since = context.now().saturating_sub(ALIVE_MS);
+    let since = context.now().saturating_sub(MAX_HEARTBEAT_AGE_MS);
     let table = context.routes()?;
     let route = table.batch_route(&submission.host, &submission.path)?;
     let control = context.control.lock();
--- a/crates/gateway/src/held_answers.rs
+++ b/crates/gateway/src/held_answers.rs
@@ -1,9 +1,9 @@
-//! Answers that callers have not taken yet, and the memory that they hold.
+//! Bounds the memory held by answers that callers have not read yet.
 //!
-//! The load that this answers: hundreds of callers ask for large answers and read them slowly. Each answer is held
-//! until it is taken, and a node of 160 MB that held 500 pages of 1 MB would be killed with all its work. So answers
-//! together hold a share of the node's memory at most: pages of results become shorter as more is held, and where that
-//! is not enough the connections of those are closed that were begun first, and so are taken the slowest.
+//! Hundreds of callers may ask for large answers and read them slowly. Each answer stays in memory until it is read, and
+//! a node of 160 MB that held 500 pages of 1 MB would be killed with all its work. So all answers together hold at most a
+//! share of the node's memory: pages of results become shorter as more is held, and if that is not enough, the
+//! connections of the oldest answers are closed, since these are read the slowest.
 
 use std::collections::BTreeMap;
 use std::pin::Pin;
@@ -22,31 +22,32 @@
 use crate::relay::StreamBroken;
 use crate::responses::Body;
 
-/// Share of a node's memory that answers may hold; the rest is for batches, connections and the program.
+/// Share of a node's memory that unread answers may hold; the rest is for batches, connections and the program.
 const MEMORY_SHARE: f64 = 0.25;
-/// Answers up to this size are not counted: connections have buffers of that order anyhow.
-const LEAST_COUNTED_BYTES: usize = 16 * 1024;
-/// Bytes given to a connection at a time: it asks for more as its caller takes them, and a body counts as held until
-/// its last piece is asked for.
-const PIECE_BYTES: usize = 16 * 1024;
-/// Most and fewest bytes of a page of results.
-const MOST_PAGE_BYTES: usize = 1_000_000;
-const LEAST_PAGE_BYTES: usize = 32 * 1024;
-/// Share of what is free that a page may take.
-const PAGE_SHARE: usize = 8;
-
-/// Answers that are held now.
+/// Answers up to this size are not counted: the buffers of a connection are of that order anyway.
+const MAX_UNCOUNTED_BYTES: usize = 16 * 1024;
+/// Bytes given to a connection at a time: the connection asks for more as its caller reads them, and a body counts as
+/// held until the connection has asked for its last chunk.
+const CHUNK_BYTES: usize = 16 * 1024;
+/// Upper and lower limit of the size of a page of results.
+const MAX_PAGE_BYTES: usize = 1_000_000;
+const MIN_PAGE_BYTES: usize = 32 * 1024;
+/// A page may take the free memory divided by this.
+const PAGE_DIVISOR: usize = 8;
+
+/// The answers that this node holds for callers that have not read them yet.
 #[derive(Debug)]
 pub struct HeldAnswers {
-    most_bytes: usize,
+    max_bytes: usize,
     inner: Mutex<Inner>,
 }
 
 #[derive(Debug, Default)]
 struct Inner {
     bytes: usize,
-    begun: u64,
-    /// In the order in which they were begun.
+    /// Number of the newest answer; numbers rise in the order in which answers began.
+    last_number: u64,
+    /// By number, so the oldest comes first.
     answers: BTreeMap<u64, HeldAnswer>,
 }
 
@@ -54,60 +55,60 @@
 struct HeldAnswer {
     bytes: usize,
     since: Instant,
-    /// Closes its connection.
+    /// Notified to close the answer's connection.
     close: Arc<Notify>,
 }
 
 impl HeldAnswers {
-    /// None yet, on a node with so much memory.
+    /// Creates an empty set for a node with `memory_bytes` of memory.
     pub fn new(memory_bytes: u64) -> Arc<Self> {
         Arc::new(Self {
-            most_bytes: (memory_bytes as f64 * MEMORY_SHARE) as usize,
+            max_bytes: (memory_bytes as f64 * MEMORY_SHARE) as usize,
             inner: Mutex::default(),
         })
     }
 
-    /// Bytes that they may hold together.
+    /// Maximum bytes that all answers together may hold.
     pub fn max_bytes(&self) -> usize {
-        self.most_bytes
+        self.max_bytes
     }
 
-    /// Bytes that they hold.
+    /// Bytes that all answers together hold now.
     pub fn bytes(&self) -> usize {
         self.lock().bytes
     }
 
-    /// Bytes that a page of results may have now.
+    /// Maximum size in bytes of a page of results, given the memory that is free now.
     pub fn page_bytes(&self) -> usize {
-        let free = self.most_bytes.saturating_sub(self.bytes());
-        (free / PAGE_SHARE).clamp(LEAST_PAGE_BYTES, MOST_PAGE_BYTES)
+        let free = self.max_bytes.saturating_sub(self.bytes());
+        (free / PAGE_DIVISOR).clamp(MIN_PAGE_BYTES, MAX_PAGE_BYTES)
     }
 
-    /// Has an answer counted while its connection has not taken it; `close` closes the connection.
+    /// Counts an answer until its connection has taken all of it; notifying `close` closes the connection.
     pub(crate) fn hold(
         self: &Arc<Self>,
         response: Response<Body>,
         close: &Arc<Notify>,
     ) -> Response<Body> {
         let size = response.body().size_hint().exact().unwrap_or(0) as usize;
-        if size <= LEAST_COUNTED_BYTES {
+        if size <= MAX_UNCOUNTED_BYTES {
             return response;
         }
-        let place = self.begin(size, close.clone());
+        let guard = self.begin(size, close.clone());
         response.map(|body| {
-            let pieces = Pieces {
+            let chunked = ChunkedBody {
                 body,
                 rest: Bytes::new(),
-                _place: place,
+                _guard: guard,
             };
-            pieces.boxed_unsync()
+            chunked.boxed_unsync()
         })
     }
 
-    fn begin(self: &Arc<Self>, bytes: usize, close: Arc<Notify>) -> Place {
+    fn begin(self: &Arc<Self>, bytes: usize, close: Arc<Notify>) -> HeldAnswerGuard {
         let mut inner = self.lock();
-        inner.begun += 1;
-        let number = inner.begun;
+        inner.last_number += 1;
+        let number = inner.last_number;
         let answer = HeldAnswer {
             bytes,
             since: Instant::now(),
@@ -115,11 +116,11 @@
         };
         inner.answers.insert(number, answer);
         inner.bytes += bytes;
-        while inner.bytes > self.most_bytes && inner.answers.len() > 1 {
-            inner.close_slowest();
+        while inner.bytes > self.max_bytes && inner.answers.len() > 1 {
+            inner.close_oldest();
         }
         drop(inner);
-        Place {
+        HeldAnswerGuard {
             held: self.clone(),
             number,
         }
@@ -138,7 +139,7 @@
 }
 
 impl Inner {
-    fn close_slowest(&mut self) {
+    fn close_oldest(&mut self) {
         let Some((_, answer)) = self.answers.pop_first() else {
             return;
         };
@@ -150,33 +151,33 @@
     }
 }
 
-/// The place of an answer among those that are held.
-struct Place {
+/// Counts an answer as held until this is dropped.
+struct HeldAnswerGuard {
     held: Arc<HeldAnswers>,
     number: u64,
 }
 
-impl Drop for Place {
+impl Drop for HeldAnswerGuard {
     fn drop(&mut self) {
         self.held.end(self.number);
     }
 }
 
-/// A body that is given to its connection in small pieces.
-struct Pieces {
+/// A body that is given to its connection in small chunks.
+struct ChunkedBody {
     body: Body,
     rest: Bytes,
-    _place: Place,
+    _guard: HeldAnswerGuard,
 }
 
-impl Pieces {
-    fn next_piece(&mut self) -> Frame<Bytes> {
-        let length = self.rest.len().min(PIECE_BYTES);
+impl ChunkedBody {
+    fn next_chunk(&mut self) -> Frame<Bytes> {
+        let length = self.rest.len().min(CHUNK_BYTES);
         Frame::data(self.rest.split_to(length))
     }
 }
 
-impl HttpBody for Pieces {
+impl HttpBody for ChunkedBody {
     type Data = Bytes;
     type Error = StreamBroken;
 
@@ -185,7 +186,7 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, StreamBroken>>> {
         if !self.rest.is_empty() {
-            return Poll::Ready(Some(Ok(self.next_piece())));
+            return Poll::Ready(Some(Ok(self.next_chunk())));
         }
         let frame = match Pin::new(&mut self.body).poll_frame(context) {
             Poll::Ready(Some(Ok(frame))) => frame,
@@ -194,7 +195,7 @@
         match frame.into_data() {
             Ok(data) if !data.is_empty() => {
                 self.rest = data;
-                Poll::Ready(Some(Ok(self.next_piece())))
+                Poll::Ready(Some(Ok(self.next_chunk())))
             }
             Ok(data) => Poll::Ready(Some(Ok(Frame::data(data)))),
             Err(trailers) => Poll::Ready(Some(Ok(trailers))),
