--- a/crates/gateway/src/counted_log.rs
+++ b/crates/gateway/src/counted_log.rs
@@ -1,4 +1,4 @@
-//! The shared log with its calls and bytes counted by stream, for the metrics.
+//! A wrapper of the shared log that counts calls and bytes by stream, for the metrics.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,13 +9,13 @@
 use crate::edge::{Appended, LogError, LogPage, LogStream, SharedLog, StreamPartition};
 use crate::metrics;
 
-/// Counts what passes to another log.
+/// Passes all calls to another log and counts them and their bytes.
 pub struct CountedLog {
     log: Arc<dyn SharedLog>,
 }
 
 impl CountedLog {
-    /// Counts what passes to `log`.
+    /// Wraps `log`.
     pub fn new(log: Arc<dyn SharedLog>) -> Self {
         Self { log }
     }
--- a/crates/gateway/src/digest_reader.rs
+++ b/crates/gateway/src/digest_reader.rs
@@ -1,4 +1,5 @@
-//! Follows the digest of the directory of back ends, in place of the directory.
+//! Follows the digest of the back-end directory, in place of the directory itself. One node, the order lease holder,
+//! writes the digest, because the directory is too large for all nodes to read.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,37 +13,37 @@
 use crate::checkpoints;
 use crate::context::{BACKEND_DIGEST, Context};
 use crate::dependency::Dependency;
-use crate::digest_writer::{CHECKPOINT, kept_age_ms};
+use crate::digest_writer::{CHECKPOINT, last_write_age_ms};
 use crate::followers::{ReadOutcome, read_once};
 use crate::log_writes::append_or_warn;
 
-/// Time without a word of its holder after which the digest is taken for abandoned: another node claims the lease for
-/// orders and lists the directory within it.
+/// Time without a record of the digest's writer after which the digest counts as abandoned. Within this time another
+/// node can claim the order lease and list the directory.
 const ABANDONED_AFTER_MS: Millis = 4_000;
-/// Time for which a node reads the directory itself once the digest was abandoned, before it looks for a digest again.
+/// Time for which a node reads the directory itself after the digest was abandoned, before it looks for a digest again.
 pub(crate) const DIRECTORY_FALLBACK_DURATION: Duration = Duration::from_secs(4);
-/// Tries to read its checkpoint before the directory is read instead.
-const LOAD_TRIES: u32 = 8;
-/// Bytes that a node reads of the directory where nobody keeps a digest: a page of a listing.
-const LISTED_BYTES: f64 = 250_000.0;
+/// Attempts to read the digest's checkpoint before the directory is read instead.
+const MAX_LOAD_ATTEMPTS: u32 = 8;
+/// Bytes that a node reads of the directory if no node writes a digest: a page of a listing.
+const LISTING_BYTES: f64 = 250_000.0;
 /// Share of the log's bandwidth that these listings may take.
 const LISTING_SHARE: f64 = 0.5;
-/// Longest time over which they are spread: what a node knows grows older meanwhile.
-const LONGEST_SPREAD_MS: f64 = 8_000.0;
-/// Nodes that ask for more back ends in a second, of a whole fleet that wants more.
-const ASKERS_PER_S: f64 = 16.0;
-/// Pause between two looks whether this node asks.
-const ASK_PAUSE: Duration = Duration::from_secs(1);
+/// Maximum time over which the listings are spread, since a node's knowledge ages in the meantime.
+const MAX_SPREAD_MS: f64 = 8_000.0;
+/// Requests for more back ends per second, if all nodes of the fleet need more.
+const FLEET_REQUESTS_PER_S: f64 = 16.0;
+/// Pause between two decisions whether this node requests more back ends.
+const REQUEST_PAUSE: Duration = Duration::from_secs(1);
 
-/// Whether some node keeps a digest that can be taken up: its checkpoint is there.
+/// Loads the digest's checkpoint and replaces the list of back ends with it; false if there is no readable checkpoint.
 pub(crate) async fn restore_from_checkpoint(context: &Context) -> bool {
-    for tries in 1..=LOAD_TRIES {
+    for attempts in 1..=MAX_LOAD_ATTEMPTS {
         match context.checkpoints.load(CHECKPOINT).await {
             Ok(None) => return false,
             Ok(Some(value)) => return restore(context, &value),
             Err(error) => {
                 warn!(event = "checkpoint_not_read", reason = error.to_string().as_str(); "");
-                checkpoints::pause_before_retry(tries).await;
+                checkpoints::pause_before_retry(attempts).await;
             }
         }
     }
@@ -57,7 +58,7 @@
                 .digest
                 .restore(DigestState::restored(checkpoint), next);
             info!(event = "digest_read", next = next, count = count, is_taken = is_taken; "");
-            replace_all(context);
+            replace_backends(context);
             true
         }
         Err(error) => {
@@ -67,8 +68,8 @@
     }
 }
 
-/// Takes the whole digest for the list of back ends.
-fn replace_all(context: &Context) {
+/// Replaces the list of back ends by the whole digest, unless the digest is empty.
+fn replace_backends(context: &Context) {
     let all = context.digest.lock().state.all();
     if all.is_empty() {
         return;
@@ -79,34 +80,34 @@
     context.control_changed.notify_one();
 }
 
-/// Follows the digest until its holder was silent for too long.
+/// Follows the digest until its writer has been silent for too long.
 pub(crate) async fn follow(context: &Arc<Context>) {
     let mut dependency = Dependency::new(context.digest.id.to_string());
     let began = context.now();
-    // Not all nodes list the directory at once: the next holder may be there before most do.
-    let patience_ms =
+    // Random, so that not all nodes list the directory at once: the next writer may start before most of them do.
+    let timeout_ms =
         ABANDONED_AFTER_MS + (listing_time_ms(context) * rand::random::<f64>()) as Millis;
     let mut has_all = false;
-    let asking = context.clone();
-    let asker = tokio::spawn(async move { ask_for_more(&asking).await });
+    let requester_context = context.clone();
+    let requester = tokio::spawn(async move { request_more_backends(&requester_context).await });
     loop {
-        let gap_ms = context.pace().read_interval_ms;
-        match read_once(context, &context.digest, &mut dependency, gap_ms).await {
+        let interval_ms = context.pace().read_interval_ms;
+        match read_once(context, &context.digest, &mut dependency, interval_ms).await {
             ReadOutcome::Dropped => {
                 restore_from_checkpoint(context).await;
             }
             ReadOutcome::Answered if has_all => apply_changes(context),
             ReadOutcome::Answered => {
-                replace_all(context);
+                replace_backends(context);
                 has_all = !context.digest.lock().state.is_empty();
             }
             ReadOutcome::Failed => {}
         }
-        if is_abandoned(context, began, patience_ms) {
+        if is_abandoned(context, began, timeout_ms) {
             break;
         }
     }
-    asker.abort();
+    requester.abort();
 }
 
 fn apply_changes(context: &Context) {
@@ -120,39 +121,41 @@
     }
 }
 
-/// Whether the digest could be read and nobody kept it for long. While it cannot be read, nor can the directory.
-fn is_abandoned(context: &Context, since: Millis, patience_ms: Millis) -> bool {
+/// Whether the digest has been readable for longer than the timeout, but its writer has been silent for as long. While
+/// the digest can't be read, the directory can't be read either, so a node doesn't switch then.
+fn is_abandoned(context: &Context, since: Millis, timeout_ms: Millis) -> bool {
     let now = context.now();
-    let silent_ms = kept_age_ms(context).unwrap_or(Millis::MAX);
+    let silent_ms = last_write_age_ms(context).unwrap_or(Millis::MAX);
     let silent_ms = silent_ms.min(now.saturating_sub(since));
     let readable_ms = match context.digest.readable_since(now) {
         Some(readable_since) => now.saturating_sub(readable_since),
         None => 0,
     };
-    let is_abandoned = silent_ms.min(readable_ms) > patience_ms;
+    let is_abandoned = silent_ms.min(readable_ms) > timeout_ms;
     if is_abandoned {
         warn!(event = "digest_abandoned", silent_ms = silent_ms; "");
     }
     is_abandoned
 }
 
-/// Time over which the listings of all nodes are spread: what the log needs for them.
+/// Time over which the listings of all nodes are spread: the time that the log's share of bandwidth needs for them.
 fn listing_time_ms(context: &Context) -> f64 {
     let bytes_per_s = context.settings.log.read_bytes_per_s() * LISTING_SHARE;
-    let time_ms = LISTED_BYTES * context.fleet_size() as f64 * 1_000.0 / bytes_per_s;
-    time_ms.min(LONGEST_SPREAD_MS)
+    let time_ms = LISTING_BYTES * context.fleet_size() as f64 * 1_000.0 / bytes_per_s;
+    time_ms.min(MAX_SPREAD_MS)
 }
 
-/// Says that all back ends of a pool are taken, whenever this node finds that, for a few of the nodes that do.
-async fn ask_for_more(context: &Arc<Context>) {
+/// Appends a request for more back ends when all known ones of a pool are occupied. Each node does so with a probability
+/// that falls with the size of the fleet, which bounds the requests of all nodes together.
+async fn request_more_backends(context: &Arc<Context>) {
     loop {
         let pool: PoolName = context.backends.more_wanted().await;
-        let share = ASKERS_PER_S / context.fleet_size() as f64;
+        let share = FLEET_REQUESTS_PER_S / context.fleet_size() as f64;
         if rand::random::<f64>() < share {
             info!(event = "more_back_ends_wanted", pool = pool.as_str(); "");
             let record = DigestRecord::MoreWanted { pool };
             append_or_warn(context.clone(), BACKEND_DIGEST, record).await;
         }
-        tokio::time::sleep(ASK_PAUSE).await;
+        tokio::time::sleep(REQUEST_PAUSE).await;
     }
 }
--- a/crates/gateway/src/digest_writer.rs
+++ b/crates/gateway/src/digest_writer.rs
@@ -1,5 +1,5 @@
-//! Keeps the digest of the directory of back ends, while this node holds the lease for orders and the directory is too
-//! large for all nodes to read it themselves.
+//! Writes the digest of the back-end directory, while this node holds the order lease and the directory is too large for
+//! all nodes to read it themselves.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -20,50 +20,50 @@
 use crate::edge::{DirectoryEntry, DirectoryKind, LogError};
 use crate::log_writes::append;
 
-/// Name under which the checkpoint of the digest is kept.
+/// Name of the digest's checkpoint in the checkpoint store.
 pub(crate) const CHECKPOINT: &str = "backends";
-/// Pause between two looks whether the digest is to be kept by this node.
-const LOOK_PAUSE: Duration = Duration::from_millis(100);
-/// Time without a change after which it is said that the digest is kept: a fraction of the time after which readers
-/// take it for abandoned.
-const SAY_KEPT_AFTER: Duration = Duration::from_millis(1_000);
-/// Longest wait for a change of the directory.
+/// Pause between two checks whether this node is to write the digest.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Time without a change after which a heartbeat is written: a fraction of the time after which readers consider the
+/// digest abandoned.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Maximum wait for a change of the directory.
 const DIRECTORY_WAIT: Duration = Duration::from_millis(500);
-/// Bytes of changes that one call asks for: one node alone reads the whole directory.
+/// Bytes of changes that one call asks for; it may be large, since only one node reads the whole directory.
 const READ_BYTES: u32 = 256 * 1024;
 /// Pause between two checkpoints.
 const CHECKPOINT_PAUSE: Duration = Duration::from_secs(5);
-/// Back ends of each pool at first: as many as take the calls of some hundred nodes.
-const FIRST_WANTED: usize = 64;
-/// Places in the digest for each item of the newest batches: half of a pool may be loading weights.
-const PLACES_PER_ITEM: f64 = 2.0;
-/// Pause between two doublings of a pool that is wanted larger: by then the last one is known to all.
+/// Initial number of back ends of each pool in the digest: enough for the calls of some hundred nodes.
+const INITIAL_POOL_SIZE: usize = 64;
+/// Slots in the digest for each item of the newest batches, since half of a pool may be loading weights.
+const SLOTS_PER_ITEM: f64 = 2.0;
+/// Pause between two doublings of a pool's size in the digest: by then all nodes know of the previous one.
 const DOUBLING_PAUSE: Duration = Duration::from_secs(2);
 
-/// Keeps the digest whenever it is this node's turn, until the process ends.
+/// Writes the digest whenever that is this node's task; runs until the process ends.
 pub async fn write_digest(context: Arc<Context>) {
     loop {
-        tokio::time::sleep(LOOK_PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
         let Some(term) = term_to_write(&context) else {
             continue;
         };
         info!(event = "digest_kept", term = term; "");
         let mut writer = DigestWriter::new(&context, term);
-        if let Err(error) = writer.keep().await {
+        if let Err(error) = writer.run().await {
             warn!(event = "digest_interrupted", term = term, reason = error.to_string().as_str(); "");
         }
     }
 }
 
-/// The term under which this node keeps the digest now, if it does.
+/// The lease term under which this node is to write the digest now, if it is.
 fn term_to_write(context: &Context) -> Option<Term> {
     let grant = context.lease_grant()?;
-    let is_relied_on = grant.remaining_validity(context.now()).is_some();
-    (is_relied_on && is_wanted(context)).then_some(grant.term)
+    let is_valid = grant.remaining_validity(context.now()).is_some();
+    (is_valid && is_needed(context)).then_some(grant.term)
 }
 
-/// Whether some node may follow the digest.
-fn is_wanted(context: &Context) -> bool {
+/// Whether the directory is so large that some node may follow the digest.
+fn is_needed(context: &Context) -> bool {
     let known = context.backends.lock().list.len() as u64;
     context.directory_is_large() || context.may_exceed_read_capacity(known * ENTRY_BYTES)
 }
@@ -73,8 +73,8 @@
     term: Term,
     directory: BackendList,
     dependency: Dependency,
-    wanted: Wanted,
-    said_at: Instant,
+    pool_sizes: PoolSizes,
+    written_at: Instant,
     saved_at: Option<Instant>,
     has_unsaved: bool,
 }
@@ -86,26 +86,27 @@
             term,
             directory: BackendList::default(),
             dependency: Dependency::new("directory of all back ends"),
-            wanted: Wanted::default(),
-            said_at: Instant::now(),
+            pool_sizes: PoolSizes::default(),
+            written_at: Instant::now(),
             saved_at: None,
             has_unsaved: true,
         }
     }
 
-    fn is_its_turn(&self) -> bool {
+    fn is_current_writer(&self) -> bool {
         term_to_write(self.context) == Some(self.term)
     }
 
-    /// Keeps the digest until another node does.
-    async fn keep(&mut self) -> Result<(), LogError> {
-        // Whatever an earlier holder still writes does not count from here on, and what it wrote is known.
+    /// Lists the directory and writes its changes to the digest until this node's term ends.
+    async fn run(&mut self) -> Result<(), LogError> {
+        // From this record on, readers ignore what earlier lease holders still write, and this node has read all that
+        // they wrote before.
         self.write(DigestRecord::Kept { term: self.term }).await?;
         let Some(mut next) = self.list().await else {
             return Ok(());
         };
         info!(event = "directory_listed", count = self.directory.len(), term = self.term; "");
-        while self.is_its_turn() {
+        while self.is_current_writer() {
             self.write_changes().await?;
             self.save().await;
             let directory = self.context.directory.as_ref();
@@ -115,7 +116,7 @@
                 Ok(page) => {
                     self.dependency.record_success();
                     next = page.next;
-                    self.take(page.entries);
+                    self.apply(page.entries);
                 }
                 Err(LogError::HistoryDropped { .. }) => match self.list().await {
                     Some(end) => next = end,
@@ -131,12 +132,13 @@
         Ok(())
     }
 
-    /// Lists the whole directory; answers where its changes begin, or nothing once it is another node's turn.
+    /// Lists the whole directory. Returns the offset from which its changes are to be read, or `None` once this node's term
+    /// has ended.
     async fn list(&mut self) -> Option<u64> {
         let mut directory = BackendList::default();
         let mut first_end = None;
         let mut after: Option<String> = None;
-        while self.is_its_turn() {
+        while self.is_current_writer() {
             let kind = DirectoryKind::Backends;
             match self.context.directory.list(kind, after.as_deref()).await {
                 Ok(page) => {
@@ -159,23 +161,25 @@
         None
     }
 
-    fn take(&mut self, entries: Vec<DirectoryEntry>) {
+    fn apply(&mut self, entries: Vec<DirectoryEntry>) {
         apply_entries(&mut self.directory, entries);
     }
 
     async fn write_changes(&mut self) -> Result<(), LogError> {
         let changes = {
             let view = self.context.digest.lock();
-            self.wanted
-                .follow(self.context, &view.state.wanted().clone());
-            compute_changes(&view.state, &self.directory, |pool| self.wanted.of(pool))
+            self.pool_sizes
+                .update(self.context, &view.state.wanted().clone());
+            compute_changes(&view.state, &self.directory, |pool| {
+                self.pool_sizes.of(pool)
+            })
         };
         if !changes.is_empty() {
             self.has_unsaved = true;
             let term = self.term;
             return self.write(DigestRecord::Changed { term, changes }).await;
         }
-        if self.said_at.elapsed() >= SAY_KEPT_AFTER {
+        if self.written_at.elapsed() >= HEARTBEAT_INTERVAL {
             return self.write(DigestRecord::Kept { term: self.term }).await;
         }
         Ok(())
@@ -183,7 +187,7 @@
 
     /// Appends a record and reads the digest to its end.
     async fn write(&mut self, record: DigestRecord) -> Result<(), LogError> {
-        self.said_at = Instant::now();
+        self.written_at = Instant::now();
         append(self.context, BACKEND_DIGEST, &record).await?;
         let (log, clock) = (self.context.log.as_ref(), self.context.clock);
         self.context
@@ -192,7 +196,7 @@
             .await
     }
 
-    /// Saves a checkpoint now and then, so that a node that starts reads it and a few seconds of records.
+    /// Saves a checkpoint at regular intervals, so that a node that starts reads it and only a few seconds of records.
     async fn save(&mut self) {
         let is_due = self
             .saved_at
@@ -241,54 +245,57 @@
     }
 }
 
-/// How many back ends of each pool the digest is to have.
+/// How many back ends of each pool the digest is to contain.
 #[derive(Default)]
-struct Wanted {
-    /// For the items of the newest batches.
+struct PoolSizes {
+    /// Number needed for the items of the newest batches; it never falls.
     for_work: BTreeMap<PoolName, usize>,
-    /// As nodes asked for more.
-    pools: BTreeMap<PoolName, AskedFor>,
+    /// Number that results from the nodes' requests for more.
+    requested: BTreeMap<PoolName, RequestedSize>,
 }
 
-/// What nodes asked of a pool.
-struct AskedFor {
+/// The size of a pool in the digest that results from requests for more.
+struct RequestedSize {
     size: usize,
-    /// How often more was asked for when the size was last set.
-    asked: u64,
+    /// Number of requests for more when the size was last set.
+    request_count: u64,
     set_at: Instant,
 }
 
-impl Wanted {
+impl PoolSizes {
     fn of(&self, pool: &PoolName) -> usize {
         let for_work = self.for_work.get(pool).copied().unwrap_or(0);
-        let asked = self
-            .pools
+        let requested = self
+            .requested
             .get(pool)
-            .map_or(FIRST_WANTED, |asked| asked.size);
-        asked.max(for_work)
+            .map_or(INITIAL_POOL_SIZE, |requested| requested.size);
+        requested.max(for_work)
     }
 
-    fn follow(&mut self, context: &Context, wanted: &BTreeMap<PoolName, u64>) {
-        for (pool, times) in wanted {
+    fn update(&mut self, context: &Context, request_counts: &BTreeMap<PoolName, u64>) {
+        for (pool, count) in request_counts {
             let size = self.of(pool);
-            let asked = self.pools.entry(pool.clone()).or_insert_with(|| AskedFor {
-                size: FIRST_WANTED,
-                asked: 0,
-                set_at: Instant::now() - DOUBLING_PAUSE,
-            });
-            if *times > asked.asked && asked.set_at.elapsed() >= DOUBLING_PAUSE {
+            let requested = self
+                .requested
+                .entry(pool.clone())
+                .or_insert_with(|| RequestedSize {
+                    size: INITIAL_POOL_SIZE,
+                    request_count: 0,
+                    set_at: Instant::now() - DOUBLING_PAUSE,
+                });
+            if *count > requested.request_count && requested.set_at.elapsed() >= DOUBLING_PAUSE {
                 info!(event = "digest_grows", pool = pool.as_str(), from = size, to = size * 2; "");
-                *asked = AskedFor {
+                *requested = RequestedSize {
                     size: size * 2,
-                    asked: *times,
+                    request_count: *count,
                     set_at: Instant::now(),
                 };
             }
         }
-        self.follow_work(context);
+        self.update_for_work(context);
     }
 
-    fn follow_work(&mut self, context: &Context) {
+    fn update_for_work(&mut self, context: &Context) {
         let Some(table) = context.routes() else {
             return;
         };
@@ -302,15 +309,15 @@
             let items: u64 = newest.map(|batch| u64::from(batch.items)).sum();
             let slots = backends.list.ready_in(&pool.name).map(|(_, r)| r.slots);
             let slots = slots.max().unwrap_or(1).max(1);
-            let size = (items as f64 * PLACES_PER_ITEM / f64::from(slots)).ceil() as usize;
+            let size = (items as f64 * SLOTS_PER_ITEM / f64::from(slots)).ceil() as usize;
             let known = self.for_work.entry(pool.name.clone()).or_default();
             *known = (*known).max(size);
         }
     }
 }
 
-/// Time since a holder's record was last read, in milliseconds; `None` if there was none.
-pub(crate) fn kept_age_ms(context: &Context) -> Option<Millis> {
-    let kept_at = context.digest.lock().state.last_holder_record_at()?;
-    Some(context.now().saturating_sub(kept_at))
+/// Milliseconds since a record of the digest's writer was last read; `None` if none was read yet.
+pub(crate) fn last_write_age_ms(context: &Context) -> Option<Millis> {
+    let last_record_at = context.digest.lock().state.last_holder_record_at()?;
+    Some(context.now().saturating_sub(last_record_at))
 }
--- a/crates/gateway/src/followers.rs
+++ b/crates/gateway/src/followers.rs
@@ -1,4 +1,4 @@
-//! Tasks that follow the streams, so that the node's knowledge stays fresh.
+//! Tasks that follow the streams of the log, so that the node's knowledge stays current.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,22 +18,23 @@
 use crate::log_writes::append_control;
 use crate::stream_view::{StreamState, StreamView};
 
-/// Kept longer than promised, since nodes see a batch at different times.
+/// Time for which batches are kept beyond the promised retention, since nodes first see a batch at different times.
 const RETENTION_SLACK_MS: Millis = 10_000;
-/// Longest pause before an announcement that failed is made again: whoever reads has a pace meanwhile.
-const ANNOUNCE_AGAIN_PAUSE: Duration = Duration::from_secs(2);
-/// Pause between two looks at how many machines there are, half as long or half longer at random: not all that find the
-/// fleet small tell their addresses in the same moment.
-const FLEET_LOOK_PAUSE: Duration = Duration::from_millis(200);
-/// Pause between two looks for batches that may be forgotten.
-const FORGET_PAUSE: Duration = Duration::from_secs(5);
-
-/// Starts a task for each partition of batches that is to be followed, and ends with the process.
+/// Maximum pause before a failed announcement is retried; until it succeeds, other nodes pace their reads by the fleet
+/// size that they know.
+const MAX_ANNOUNCE_RETRY_PAUSE: Duration = Duration::from_secs(2);
+/// Mean pause between two checks of the fleet size. It varies at random by up to half, so that nodes that find the fleet
+/// small don't all announce their addresses at the same moment.
+const FLEET_CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Pause between two runs that remove state past its retention.
+const FORGET_INTERVAL: Duration = Duration::from_secs(5);
+
+/// Starts a task for each batch partition that is to be followed; runs until the process ends.
 pub async fn follow_batches(context: Arc<Context>) {
     let Some(mut requests) = context.partitions.take_follow_requests() else {
         return;
     };
-    // Calls need the directories only; where all nodes start at once, batches come after them.
+    // Calls need only the directories, so these are read before batches, which matters when all nodes start at once.
     context.wait_for_directories().await;
     let mut followers = JoinSet::new();
     loop {
@@ -46,7 +47,7 @@
     }
 }
 
-/// Follows a partition of batches as long as this node's work needs it or somebody asks about it.
+/// Follows a batch partition while this node's work needs it or callers ask about its batches.
 async fn follow_partition(context: Arc<Context>, index: usize) {
     let view = context.partitions.at(index);
     let mut dependency = Dependency::new(view.id.to_string());
@@ -56,11 +57,11 @@
     }
 }
 
-/// Forgets what is past its retention, now and then.
+/// Removes state that is past its retention, at regular intervals.
 pub async fn forget_old_batches(context: Arc<Context>) {
     let retention = (context.settings.bounds.retention_s * 1_000.0) as u64 + RETENTION_SLACK_MS;
     loop {
-        tokio::time::sleep(FORGET_PAUSE).await;
+        tokio::time::sleep(FORGET_INTERVAL).await;
         let Some(before) = context.now().checked_sub(retention) else {
             continue;
         };
@@ -71,7 +72,7 @@
     }
 }
 
-/// Follows the places that other nodes take, while this node runs batches or gives orders.
+/// Follows the slots on back ends that other nodes use, while this node runs batches or sends orders.
 pub async fn follow_occupancy(context: Arc<Context>) {
     let mut dependency = Dependency::new(context.occupancy.id.to_string());
     loop {
@@ -80,20 +81,20 @@
     }
 }
 
-/// Reads what lies far behind, a few partitions at a time.
+/// Reads a stream to its end if this node is far behind, a few streams at a time.
 async fn catch_up<S: StreamState>(
     context: &Context,
     view: &StreamView<S>,
     dependency: &mut Dependency,
 ) {
     while view.is_behind(context.now()) {
-        // Never closed.
-        let Ok(turn) = context.catch_up.acquire().await else {
+        // The semaphore is never closed.
+        let Ok(permit) = context.catch_up.acquire().await else {
             return;
         };
         let log = context.log.as_ref();
         let confirmed = view.confirm(log, context.clock, Duration::ZERO).await;
-        drop(turn);
+        drop(permit);
         match confirmed {
             Ok(()) => {
                 dependency.record_success();
@@ -107,17 +108,17 @@
     }
 }
 
-/// Says in the log what the others are to know of this machine: that a node started here, which tells how many
-/// machines read ([`fleet_size`](havenstage_rollout::fleet_size)), and where it can be reached
-/// ([`reachable_machines`](havenstage_rollout::reachable_machines)).
+/// Announces in the log what other nodes need to know of this machine: that a node started here, from which they count
+/// the machines that read the log ([`fleet_size`](havenstage_rollout::fleet_size)), and the address at which it can be
+/// reached ([`reachable_machines`](havenstage_rollout::reachable_machines)).
 async fn announce(context: &Context) {
     let start = async {
         tokio::time::sleep(announce_delay(context)).await;
-        announce_one(context, wanted_start).await;
+        announce_one(context, start_to_announce).await;
     };
     let address = async {
-        wait_to_tell_address(context).await;
-        announce_one(context, wanted_address).await;
+        wait_to_announce_address(context).await;
+        announce_one(context, address_to_announce).await;
     };
     tokio::join!(start, address);
 }
@@ -126,23 +127,24 @@
     context.settings.announce_delay(&context.node.machine)
 }
 
-/// Waits until this machine may tell its address: soon in a fleet that is known to be small. A node that the log turned
-/// away 4 s after its start was killed with three ends that it alone knew, as no machine had told where it can be reached.
-async fn wait_to_tell_address(context: &Context) {
+/// Waits until this machine may announce its address: almost at once in a fleet that is known to be small. Without an
+/// early address, a node that loses the log a few seconds (4 s) after its start can't pass on what it alone knows, such
+/// as ends of back ends, since no machine has announced where it can be reached; if it is killed, that is lost.
+async fn wait_to_announce_address(context: &Context) {
     let latest = Instant::now() + announce_delay(context);
     while !can_announce_at_once(context.fleet_size()) {
-        let left = latest.saturating_duration_since(Instant::now());
-        if left.is_zero() {
+        let remaining = latest.saturating_duration_since(Instant::now());
+        if remaining.is_zero() {
             return;
         }
-        let pause = FLEET_LOOK_PAUSE.mul_f64(0.5 + rand::random::<f64>());
-        tokio::time::sleep(pause.min(left)).await;
+        let pause = FLEET_CHECK_INTERVAL.mul_f64(0.5 + rand::random::<f64>());
+        tokio::time::sleep(pause.min(remaining)).await;
     }
 }
 
-/// Writes an announcement, again and again while it is wanted.
-async fn announce_one(context: &Context, wanted: impl Fn(&Context) -> Option<ControlRecord>) {
-    while let Some(record) = wanted(context) {
+/// Appends an announcement, with retries until it succeeds or is no longer needed.
+async fn announce_one(context: &Context, pending: impl Fn(&Context) -> Option<ControlRecord>) {
+    while let Some(record) = pending(context) {
         let Err(error) = append_control(context, &record).await else {
             info!(event = "announced", record = format!("{record:?}").as_str(),
                 fleet = context.fleet_size(); "");
@@ -150,12 +152,12 @@
         };
         warn!(event = "not_announced", record = format!("{record:?}").as_str(),
             reason = error.to_string().as_str(); "");
-        tokio::time::sleep(ANNOUNCE_AGAIN_PAUSE.mul_f64(rand::random())).await;
+        tokio::time::sleep(MAX_ANNOUNCE_RETRY_PAUSE.mul_f64(rand::random())).await;
     }
 }
 
-/// That a node started here, if the others are to know.
-fn wanted_start(context: &Context) -> Option<ControlRecord> {
+/// The announcement that a node started here, unless it is not needed.
+fn start_to_announce(context: &Context) -> Option<ControlRecord> {
     let machine = &context.node.machine;
     let is_wanted = context.control.lock().state.fleet().is_wanted(machine);
     is_wanted.then(|| ControlRecord::Joined {
@@ -163,8 +165,8 @@
     })
 }
 
-/// Where this machine can be reached, if the others are to know.
-fn wanted_address(context: &Context) -> Option<ControlRecord> {
+/// The announcement of this machine's address, unless it is not needed.
+fn address_to_announce(context: &Context) -> Option<ControlRecord> {
     let machine = &context.node.machine;
     let address = context.peer_socket.get()?.address();
     let control = context.control.lock();
@@ -175,22 +177,23 @@
     })
 }
 
-/// Follows the control stream.
+/// Restores the control state from a checkpoint, reads the control stream to its end and then follows it; runs until the
+/// process ends.
 pub async fn follow_control(context: Arc<Context>) {
     let mut dependency = Dependency::new(context.control.id.to_string());
     checkpoints::restore_control(&context).await;
     catch_up(&context, &context.control, &mut dependency).await;
     context.mark_control_read();
-    let announcing = context.clone();
-    tokio::spawn(async move { announce(&announcing).await });
+    let announcer_context = context.clone();
+    tokio::spawn(async move { announce(&announcer_context).await });
     context.apply_observed_versions();
     loop {
-        let gap_ms = if context.is_busy() {
+        let interval_ms = if context.is_busy() {
             0
         } else {
             context.pace().read_interval_ms
         };
-        if read_once(&context, &context.control, &mut dependency, gap_ms).await
+        if read_once(&context, &context.control, &mut dependency, interval_ms).await
             == ReadOutcome::Dropped
         {
             checkpoints::restore_control(&context).await;
@@ -202,45 +205,45 @@
     }
 }
 
-/// What became of a read.
+/// Outcome of a read of a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ReadOutcome {
-    /// It was answered.
+    /// The log answered, with or without new records.
     Answered,
-    /// Records before those that are kept were asked for; they are skipped.
+    /// The requested records had been dropped from the log; reading goes on at the first one that is kept.
     Dropped,
-    /// It failed, and a while has passed since.
+    /// The read failed, and the pause before a retry has passed.
     Failed,
 }
 
-/// Reads a stream once, after a gap since the read before.
+/// Reads a stream once, at least `interval_ms` after the previous read.
 pub(crate) async fn read_once<S: StreamState>(
     context: &Context,
     view: &StreamView<S>,
     dependency: &mut Dependency,
-    gap_ms: Millis,
+    interval_ms: Millis,
 ) -> ReadOutcome {
-    view.wait_between_reads(Duration::from_millis(gap_ms), context.now())
+    view.wait_between_reads(Duration::from_millis(interval_ms), context.now())
         .await;
     let wait = context
         .settings
         .read_wait()
-        .max(Duration::from_millis(gap_ms * 2));
-    view.lock().expected_read_interval_ms = gap_ms + wait.as_millis() as u64;
-    let asked = context.now();
+        .max(Duration::from_millis(interval_ms * 2));
+    view.lock().expected_read_interval_ms = interval_ms + wait.as_millis() as u64;
+    let asked_at = context.now();
     let from = view.lock().next;
     match context.log.read(view.id, from, wait).await {
         Ok(page) => {
             dependency.record_success();
             context.record_contact();
-            let outcome = view.apply_page(page, asked, context.now());
+            let outcome = view.apply_page(page, asked_at, context.now());
             if outcome.unreadable > 0 {
                 warn!(event = "records_unreadable", dependency = dependency.name.as_str(),
                     count = outcome.unreadable; "");
             }
             ReadOutcome::Answered
         }
-        // One that leads no further is a failure: without a pause the same read would follow at once.
+        // If this makes no progress it counts as a failure: without a pause the same read would follow at once.
         Err(LogError::HistoryDropped { first }) if first > from => {
             view.skip_to(first, context.now());
             ReadOutcome::Dropped
--- a/crates/gateway/src/knowledge_metrics.rs
+++ b/crates/gateway/src/knowledge_metrics.rs
@@ -1,5 +1,5 @@
-//! What this node knows of the fleet and how old that is, as gauges: an operator sees from one node's metrics why a
-//! fleet does not become ready.
+//! Gauges of what this node knows of the fleet and how old that knowledge is, so that an operator sees from one node's
+//! metrics why a fleet does not become ready.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,10 +7,10 @@
 use crate::context::Context;
 use crate::metrics;
 
-/// Pause between two looks: metrics are fetched every few seconds.
-const LOOK_PAUSE: Duration = Duration::from_secs(2);
+/// Pause between two updates of the gauges: metrics are fetched every few seconds.
+const UPDATE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Keeps the gauges up to date until the process ends.
+/// Updates the gauges at regular intervals until the process ends.
 pub async fn report(context: Arc<Context>) {
     loop {
         let backends = context.backends.lock().list.len();
@@ -22,6 +22,6 @@
             log_age_ms: context.contact_age(),
             held_answer_bytes: context.answers.bytes(),
         });
-        tokio::time::sleep(LOOK_PAUSE).await;
+        tokio::time::sleep(UPDATE_INTERVAL).await;
     }
 }
--- a/crates/gateway/src/log_writes.rs
+++ b/crates/gateway/src/log_writes.rs
@@ -1,4 +1,4 @@
-//! Appends single values to streams of the shared log.
+//! Appends of single values to streams of the shared log.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use crate::context::{CONTROL, Context};
 use crate::edge::{Appended, LogError, StreamPartition};
 
-/// Appends a value.
+/// Appends a value, split into records of the size that the log allows.
 pub async fn append<T: Stored>(
     context: &Context,
     partition: StreamPartition,
@@ -29,8 +29,8 @@
     append(context, CONTROL, record).await
 }
 
-/// Appends a record to the control stream and reads the stream to its end: what stands before the record is known
-/// here then.
+/// Appends a record to the control stream and reads the stream to its end, so that this node knows all that precedes
+/// the record.
 pub async fn append_control_and_read(
     context: &Context,
     record: &ControlRecord,
@@ -40,8 +40,8 @@
     context.control.confirm(log, clock, Duration::ZERO).await
 }
 
-/// Appends a sign of life of the lease for orders, which tells how much time has passed: it counts each
-/// time it stands in the stream.
+/// Appends a heartbeat of the order lease holder. Each copy in the stream counts as elapsed time, so the append must
+/// not be retried.
 pub async fn append_heartbeat(
     context: &Context,
     record: &ControlRecord,
@@ -50,7 +50,7 @@
     context.log.append_once(CONTROL, records).await
 }
 
-/// Appends a value that is told again soon, so that one that is not written needs only a line.
+/// Appends a value of a kind that is written again soon, so that a failure is only logged.
 pub async fn append_or_warn<T: Stored>(
     context: Arc<Context>,
     partition: StreamPartition,
--- a/crates/gateway/src/retried_append.rs
+++ b/crates/gateway/src/retried_append.rs
@@ -1,5 +1,4 @@
-//! Appends that are repeated for a caller who waits, until it is known that the record is there or the
-//! time for it is over.
+//! Appends that are retried for a waiting caller until the log acknowledges the record or the time for retries is over.
 
 use std::time::Duration;
 
@@ -11,18 +10,18 @@
 use crate::edge::LogError;
 use crate::stream_view::{StreamState, StreamView};
 
-/// Time for which an append that was certainly not done is repeated.
-const REPEAT_NOT_DONE: Duration = Duration::from_millis(600);
-/// The same for a caller of another node, which has tried that long itself.
-const REPEAT_NOT_DONE_FOR_PEER: Duration = Duration::from_millis(200);
-/// Time for which an append is repeated whose outcome is not known.
-const REPEAT_UNKNOWN: Duration = Duration::from_millis(3_500);
-/// Pause between two appends of the same records.
-const REPEAT_PAUSE: Duration = Duration::from_millis(100);
-/// Bytes that framing adds to a record of the largest allowed size, at most.
+/// Time for which an append that was certainly not done is retried.
+const RETRY_NOT_DONE: Duration = Duration::from_millis(600);
+/// The same for a caller of another node, since that node has already retried the append itself.
+const RETRY_NOT_DONE_FOR_PEER: Duration = Duration::from_millis(200);
+/// Time for which an append with an unknown outcome is retried.
+const RETRY_UNKNOWN: Duration = Duration::from_millis(3_500);
+/// Pause between two attempts to append the same records.
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
+/// Upper bound of the bytes that framing adds to a value of the maximum size.
 const FRAMING_ALLOWANCE: usize = 256;
 
-/// For whom an append is repeated.
+/// Whose call an append serves; it decides how long the append is retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum AppendFor {
     /// A caller of this node.
@@ -32,33 +31,33 @@
 }
 
 impl AppendFor {
-    fn repeat_not_done(self) -> Duration {
+    fn retry_not_done(self) -> Duration {
         match self {
-            Self::Caller => REPEAT_NOT_DONE,
-            Self::Peer => REPEAT_NOT_DONE_FOR_PEER,
+            Self::Caller => RETRY_NOT_DONE,
+            Self::Peer => RETRY_NOT_DONE_FOR_PEER,
         }
     }
 }
 
-/// What came of an append.
+/// Outcome of an append with its retries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum AppendOutcome {
-    /// The record is in the log.
+    /// The log has acknowledged the record.
     Done,
-    /// It is certainly not there.
+    /// The record is certainly not in the log.
     NotDone,
-    /// It may be there.
+    /// The record may be in the log.
     Unknown,
-    /// It is larger than the log takes.
+    /// The record is larger than the log accepts in one call.
     TooLarge,
 }
 
-/// Appends a record, again if need be: the fold takes it once.
+/// Appends a record, with retries. The log may then hold several copies, of which the fold of the stream applies one.
 pub(crate) async fn append<S: StreamState>(
     context: &Context,
     partition: &StreamView<S>,
     encoded: &[u8],
-    whom: AppendFor,
+    requester: AppendFor,
 ) -> AppendOutcome {
     if encoded.len() + FRAMING_ALLOWANCE > context.settings.log.call_bytes {
         return AppendOutcome::TooLarge;
@@ -72,17 +71,17 @@
             Err(error) => {
                 is_unknown |= !error.is_not_done();
                 let limit = if is_unknown {
-                    REPEAT_UNKNOWN
+                    RETRY_UNKNOWN
                 } else {
-                    whom.repeat_not_done()
+                    requester.retry_not_done()
                 };
                 if began.elapsed() >= limit {
-                    report_append(partition, error, is_unknown);
+                    log_failed_append(partition, error, is_unknown);
                     return outcome_of_failure(is_unknown);
                 }
             }
         }
-        tokio::time::sleep(REPEAT_PAUSE).await;
+        tokio::time::sleep(RETRY_PAUSE).await;
     }
 }
 
@@ -94,7 +93,7 @@
     }
 }
 
-fn report_append<S: StreamState>(partition: &StreamView<S>, error: LogError, is_unknown: bool) {
+fn log_failed_append<S: StreamState>(partition: &StreamView<S>, error: LogError, is_unknown: bool) {
     warn!(event = "append_failed", partition = partition.id.to_string().as_str(),
         reason = error.to_string().as_str(), may_be_done = is_unknown; "");
 }
