--- a/crates/gateway/tests/batches.rs
+++ b/crates/gateway/tests/batches.rs
@@ -1,4 +1,4 @@
-//! Batches: accepted once, run whole, read alike at every node, and kept through faults.
+//! Batches are accepted once, run completely, read with the same results at every node, and survive faults.
 
 mod support;
 
@@ -14,14 +14,14 @@
 
 const ITEMS: [(&str, &str); 4] = [("i1", "g1"), ("i2", "g1"), ("i3", "g2"), ("i4", "g2")];
 
-fn whole_text(item: &str) -> String {
+fn complete_text(item: &str) -> String {
     (1..=4)
         .map(|event| format!("{item}.{event}"))
         .collect::<Vec<_>>()
         .join("/")
 }
 
-fn assert_all_whole(lines: &[String]) {
+fn assert_all_complete(lines: &[String]) {
     let items: BTreeSet<&str> = lines
         .iter()
         .map(|line| line.split('|').next().unwrap())
@@ -30,12 +30,12 @@
     for line in lines {
         let fields: Vec<&str> = line.split('|').collect();
         assert_eq!(fields[1], "completed", "{line}");
-        assert_eq!(fields[2], whole_text(fields[0]), "{line}");
+        assert_eq!(fields[2], complete_text(fields[0]), "{line}");
     }
 }
 
 #[tokio::test]
-async fn a_batch_is_run_and_read_alike_at_every_node() {
+async fn a_batch_has_the_same_results_at_every_node() {
     let deployment = Deployment::start(2, 1).await;
     let (first, second) = (deployment.node("a").await, deployment.node("b").await);
     assert_eq!(
@@ -43,7 +43,7 @@
         202
     );
     let lines = wait_for_results(second.callers, "batch", ITEMS.len()).await;
-    assert_all_whole(&lines);
+    assert_all_complete(&lines);
     assert!(
         lines
             .iter()
@@ -60,19 +60,19 @@
 }
 
 #[tokio::test]
-async fn a_batch_handed_in_again_elsewhere_is_taken_once() {
+async fn a_batch_submitted_again_at_another_node_runs_once() {
     let deployment = Deployment::start(1, 1).await;
     let (first, second) = (deployment.node("a").await, deployment.node("b").await);
     let body = write_batch(1, &ITEMS, false);
     assert_eq!(submit(first.callers, "batch", &body).await, 202);
     assert_eq!(submit(second.callers, "batch", &body).await, 202);
     let lines = wait_for_results(second.callers, "batch", ITEMS.len()).await;
-    assert_all_whole(&lines);
+    assert_all_complete(&lines);
     assert!(deployment.engines[0].runs().values().all(|runs| *runs == 1));
 }
 
 #[tokio::test]
-async fn bad_batches_are_refused_at_once_and_leave_nothing() {
+async fn invalid_batches_are_rejected_at_once_and_store_nothing() {
     let deployment = Deployment::start(1, 1).await;
     let node = deployment.node("a").await;
     let twice = write_batch(1, &[("i1", "g"), ("i1", "g")], false);
@@ -90,7 +90,7 @@
 }
 
 #[tokio::test]
-async fn a_refusal_means_that_nothing_runs() {
+async fn a_refused_batch_is_not_run() {
     let deployment = Deployment::start(1, 1).await;
     let node = deployment.node("a").await;
     node.set_faults(LogFaults {
@@ -106,9 +106,9 @@
     assert!(deployment.engines[0].seen().is_empty());
 }
 
-/// An append without an answer may have been done, so it must not be called "not run".
+/// An append without an answer may have been done, so the gateway must not answer that the batch was not run.
 #[tokio::test]
-async fn a_lost_answer_of_the_log_is_no_refusal() {
+async fn a_lost_answer_of_the_log_is_reported_as_unknown() {
     let deployment = Deployment::start(1, 1).await;
     let node = deployment.node("a").await;
     node.set_faults(LogFaults {
@@ -121,11 +121,11 @@
     );
     node.set_faults(LogFaults::default());
     let lines = wait_for_results(node.callers, "batch", ITEMS.len()).await;
-    assert_all_whole(&lines);
+    assert_all_complete(&lines);
 }
 
 #[tokio::test]
-async fn a_node_that_cannot_ask_the_log_does_not_say_that_there_is_none() {
+async fn a_node_that_cannot_read_the_log_does_not_answer_not_found() {
     let deployment = Deployment::start(1, 1).await;
     let (first, cut) = (deployment.node("a").await, deployment.node("b").await);
     cut.set_faults(LogFaults {
@@ -144,7 +144,7 @@
 }
 
 #[tokio::test]
-async fn bodies_are_read_until_the_batch_ends() {
+async fn item_bodies_can_be_read_until_the_batch_ends() {
     let deployment = Deployment::start(1, 1).await;
     let node = deployment.node("a").await;
     deployment.engines[0].behave(|told| told.event_pause = Duration::from_secs(30));
@@ -180,7 +180,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_that_breaks_off_is_resumed_without_gap_or_repetition() {
+async fn a_broken_stream_is_resumed_without_gap_or_repetition() {
     let deployment = Deployment::start(2, 1).await;
     let node = deployment.node("a").await;
     for engine in &deployment.engines {
@@ -190,13 +190,13 @@
         submit(node.callers, "batch", &write_batch(1, &ITEMS, false)).await,
         202
     );
-    assert_all_whole(&wait_for_results(node.callers, "batch", ITEMS.len()).await);
+    assert_all_complete(&wait_for_results(node.callers, "batch", ITEMS.len()).await);
 }
 
-/// A stream that breaks off after its last event is resumed with nothing left to come: the answer
-/// names no version, and must not be taken for one of outdated weights.
+/// A run that is resumed after the last event of its stream has no output left: the back end's answer names no weight
+/// version, and must not be taken for an answer from outdated weights.
 #[tokio::test]
-async fn a_run_that_finds_its_output_whole_names_no_version() {
+async fn an_answer_to_a_complete_run_without_a_version_changes_no_known_version() {
     let deployment = Deployment::start(2, 1).await;
     let node = deployment.node("a").await;
     for engine in &deployment.engines {
@@ -206,7 +206,7 @@
         submit(node.callers, "batch", &write_batch(1, &ITEMS, false)).await,
         202
     );
-    assert_all_whole(&wait_for_results(node.callers, "batch", ITEMS.len()).await);
+    assert_all_complete(&wait_for_results(node.callers, "batch", ITEMS.len()).await);
     for id in ["engine-0", "engine-1"] {
         let version = node
             .context()
@@ -218,7 +218,7 @@
 }
 
 #[tokio::test]
-async fn an_engine_with_outdated_weights_makes_no_output() {
+async fn an_engine_with_outdated_weights_runs_no_items() {
     let deployment = Deployment::start(2, 1).await;
     let node = deployment.node("a").await;
     deployment.engines[1].behave(|told| told.version = 2);
@@ -226,7 +226,7 @@
         submit(node.callers, "batch", &write_batch(2, &ITEMS, false)).await,
         202
     );
-    // The list says that both engines have version 1; nothing runs until one is seen to have 2.
+    // The directory states version 1 for both engines, so nothing runs until version 2 is observed.
     for id in ["engine-0", "engine-1"] {
         node.context()
             .backends
@@ -234,11 +234,11 @@
             .record_version(&id.into(), &"model".into(), 2);
     }
     let lines = wait_for_results(node.callers, "batch", ITEMS.len()).await;
-    assert_all_whole(&lines);
+    assert_all_complete(&lines);
     assert!(lines.iter().all(|line| line.contains("|{2}|")), "{lines:?}");
 }
 
-async fn running_batch(deployment: &Deployment, node: &TestNode) {
+async fn start_batch_with_output(deployment: &Deployment, node: &TestNode) {
     for engine in &deployment.engines {
         engine.behave(|told| told.event_pause = Duration::from_millis(150));
     }
@@ -247,7 +247,7 @@
         202
     );
     let view = node.context().partition_of(&"batch".into());
-    wait_until("some output is written down", || {
+    wait_until("output of each item is in the log", || {
         let inner = view.lock();
         let batch = inner.state.batch(&"batch".into());
         batch.is_some_and(|batch| batch.items.iter().all(|item| !item.events.is_empty()))
@@ -255,7 +255,7 @@
     .await;
 }
 
-async fn change_version_amid_output(path: &str) -> Vec<String> {
+async fn change_version_during_output(path: &str) -> Vec<String> {
     let deployment = Deployment::start(1, 1).await;
     let node = deployment.node("a").await;
     deployment.engines[0].behave(|told| told.event_pause = Duration::from_millis(80));
@@ -264,7 +264,7 @@
         202
     );
     let view = node.context().partition_of(&"batch".into());
-    wait_until("some output is written down", || {
+    wait_until("output of each item is in the log", || {
         let inner = view.lock();
         let batch = inner.state.batch(&"batch".into());
         batch.is_some_and(|batch| batch.items.iter().all(|item| !item.events.is_empty()))
@@ -272,44 +272,44 @@
     .await;
     deployment.engines[0].behave(|told| told.version = 2);
     let lines = wait_for_results(node.callers, "batch", ITEMS.len()).await;
-    assert_all_whole(&lines);
+    assert_all_complete(&lines);
     lines
 }
 
 #[tokio::test]
-async fn a_result_names_all_versions_that_made_it() {
-    let lines = change_version_amid_output("/batches/b").await;
+async fn a_result_names_all_versions_that_produced_it() {
+    let lines = change_version_during_output("/batches/b").await;
     assert!(
         lines.iter().all(|line| line.contains("|{1, 2}|")),
         "{lines:?}"
     );
 }
 
-/// Output that cannot be gone on with under its own version is made anew under one version.
+/// A run that can't be continued under the version that began it is restarted, so that one version produces its output.
 #[tokio::test]
 async fn a_result_of_a_single_version_route_comes_from_one_version() {
-    let lines = change_version_amid_output("/batches/single/b").await;
+    let lines = change_version_during_output("/batches/single/b").await;
     assert!(lines.iter().all(|line| line.contains("|{2}|")), "{lines:?}");
 }
 
-/// Another node claims the batch and goes on with the output that was written down.
+/// Another node claims the batch and resumes its items from the output in the log.
 #[tokio::test]
-async fn a_batch_outlives_the_node_that_runs_it() {
+async fn a_batch_survives_the_death_of_its_owner() {
     let deployment = Deployment::start(2, 1).await;
     let (mut first, second) = (deployment.node("a").await, deployment.node("b").await);
-    running_batch(&deployment, &first).await;
+    start_batch_with_output(&deployment, &first).await;
     first.kill();
-    assert_all_whole(&wait_for_results(second.callers, "batch", ITEMS.len()).await);
+    assert_all_complete(&wait_for_results(second.callers, "batch", ITEMS.len()).await);
     let resumed = |seen: &support::backend::ReceivedRequest| seen.header("last-event-id").is_some();
     let was_resumed = deployment
         .engines
         .iter()
         .any(|engine| engine.seen().iter().any(resumed));
-    assert!(was_resumed, "no run went on from the output that was kept");
+    assert!(was_resumed, "no run was resumed from the output in the log");
 }
 
 #[tokio::test]
-async fn all_nodes_may_die_after_the_batch_was_accepted() {
+async fn an_accepted_batch_survives_the_death_of_all_nodes() {
     let deployment = Deployment::start(2, 1).await;
     let (mut first, mut second) = (deployment.node("a").await, deployment.node("b").await);
     assert_eq!(
@@ -319,21 +319,22 @@
     first.kill();
     second.kill();
     let restarted = deployment.node("c").await;
-    assert_all_whole(&wait_for_results(restarted.callers, "batch", ITEMS.len()).await);
+    assert_all_complete(&wait_for_results(restarted.callers, "batch", ITEMS.len()).await);
 }
 
-/// An owner that is cut off goes on, loses its lease, and wakes: one output stands, without mixing.
+/// An owner that is disconnected from the log keeps running the batch, loses its lease and is connected again. Each
+/// result then comes from one owner only, and results that were read don't change.
 #[tokio::test]
 async fn an_owner_that_lost_its_lease_changes_nothing() {
     let deployment = Deployment::start(2, 1).await;
     let (first, second) = (deployment.node("a").await, deployment.node("b").await);
-    running_batch(&deployment, &first).await;
+    start_batch_with_output(&deployment, &first).await;
     first.set_faults(LogFaults {
         is_cut: true,
         ..LogFaults::default()
     });
     let lines = wait_for_results(second.callers, "batch", ITEMS.len()).await;
-    assert_all_whole(&lines);
+    assert_all_complete(&lines);
     first.set_faults(LogFaults::default());
     assert_eq!(
         wait_for_results(first.callers, "batch", ITEMS.len()).await,
@@ -346,18 +347,18 @@
 }
 
 #[tokio::test]
-async fn a_node_that_stops_hands_its_batches_over() {
+async fn a_node_that_stops_hands_over_its_batches() {
     let deployment = Deployment::start(2, 1).await;
     let (first, second) = (deployment.node("a").await, deployment.node("b").await);
-    running_batch(&deployment, &first).await;
+    start_batch_with_output(&deployment, &first).await;
     first.stop().await;
-    assert_all_whole(&wait_for_results(second.callers, "batch", ITEMS.len()).await);
+    assert_all_complete(&wait_for_results(second.callers, "batch", ITEMS.len()).await);
 }
 
-/// A back end that ran out of time at a reward call has not failed at it: only failures count towards the
-/// attempts after which an item is given up.
+/// A reward call that runs out of time is no failed attempt: only failures count towards the number of attempts after
+/// which an item is given up.
 #[tokio::test]
-async fn reward_calls_that_ran_out_of_time_give_no_item_up() {
+async fn reward_calls_that_run_out_of_time_do_not_give_up_the_item() {
     let deployment = Deployment::start(1, 1).await;
     let node = deployment.node("a").await;
     let application = &deployment.applications[0];
--- a/crates/gateway/tests/ended_batches.rs
+++ b/crates/gateway/tests/ended_batches.rs
@@ -1,10 +1,9 @@
-//! Nothing of an ended batch reaches a back end once the end is in force, whatever the owner can read.
+//! Once the end of a batch is in force, no request of the batch reaches a back end, whatever the owner can read.
 //!
-//! An item of a batch reached a back end 3.3 s after another node's end of the batch had been
-//! acknowledged; it had been run whole by one node before, and was run whole again by a second one that
-//! still took itself for the owner. The store served that second node. Its knowledge of the batch was
-//! old: one failed read of the partition, or the wait after it, was taken for a log that nobody can read,
-//! and then knowledge of any age was acted on. Reward calls asked for no knowledge at all.
+//! Guards against an owner that acts on outdated knowledge. If one failed read of the partition, or the pause after it,
+//! is taken to mean that no node can read the log, and knowledge of any age is used from then on, the owner sends items
+//! of a batch seconds (3.3 s) after another node's end was acknowledged, and a former owner runs finished items a second
+//! time. Reward calls need recent knowledge as well.
 
 mod support;
 
@@ -19,21 +18,21 @@
 use support::dialect::{HOST, write_batch};
 use support::log::LogFaults;
 
-/// More items than the places of an engine take until some seconds after the end is in force.
+/// So many items that some still wait for a slot of the engine seconds after the end is in force.
 const MANY_ITEMS: usize = 60;
-/// Time for which back ends are watched once the end is in force.
-const WATCHED: Duration = Duration::from_secs(3);
-/// Time that a request may be on its way to a back end.
-const ON_ITS_WAY: Duration = Duration::from_millis(100);
-/// A read that takes longer than any test.
-const FOR_EVER: Duration = Duration::from_secs(60);
+/// Time for which requests to back ends are observed once the end is in force.
+const OBSERVATION_TIME: Duration = Duration::from_secs(3);
+/// Maximum time that a request takes to reach a back end.
+const MAX_TRANSIT_TIME: Duration = Duration::from_millis(100);
+/// Longer than any test runs.
+const LONGER_THAN_TEST: Duration = Duration::from_secs(60);
 
-/// Ways in which one node's reads bring nothing while the log serves the others.
-fn troubles_of_reading() -> [(&'static str, LogFaults); 4] {
+/// Faults by which one node's reads yield nothing while the log serves other nodes.
+fn read_faults() -> [(&'static str, LogFaults); 4] {
     let none = LogFaults::default;
     [
         (
-            "reads are refused as too many",
+            "reads are throttled",
             LogFaults {
                 throttles_reads: true,
                 ..none()
@@ -54,16 +53,16 @@
             },
         ),
         (
-            "answers to reads are on their way for long",
+            "answers to reads are delayed",
             LogFaults {
-                read_delay: FOR_EVER,
+                read_delay: LONGER_THAN_TEST,
                 ..none()
             },
         ),
     ]
 }
 
-/// Ends the batch at a node and returns when that was acknowledged, at the latest.
+/// Ends the batch at a node and returns a time by which the end has been acknowledged.
 async fn end_at(node: &TestNode) -> Instant {
     let ended = send(node.callers, Method::DELETE, "/results/batch", &[], "")
         .await
@@ -72,7 +71,7 @@
     Instant::now()
 }
 
-fn in_force(node: &TestNode) -> Duration {
+fn end_in_force_delay(node: &TestNode) -> Duration {
     Duration::from_millis(node.context().settings.bounds.end_in_force_ms)
 }
 
@@ -84,7 +83,7 @@
     seen.path == "/calls/reward"
 }
 
-/// How long after the end the requests came that came too late, in milliseconds.
+/// For each request that arrived after the end was in force, how long after the end it arrived, in milliseconds.
 fn late_ms(
     backend: &StandInBackend,
     is_work: fn(&ReceivedRequest) -> bool,
@@ -98,7 +97,7 @@
     late.map(|seen| (seen.at - ended).as_millis()).collect()
 }
 
-async fn hand_in_many_items(deployment: &Deployment, owner: &TestNode, has_reward: bool) {
+async fn submit_many_items(deployment: &Deployment, owner: &TestNode, has_reward: bool) {
     deployment.engines[0].behave(|told| told.event_pause = Duration::from_millis(400));
     let names: Vec<String> = (0..MANY_ITEMS).map(|at| format!("i{at}")).collect();
     let items: Vec<(&str, &str)> = names.iter().map(|name| (name.as_str(), "g")).collect();
@@ -107,7 +106,7 @@
     wait_until("items run", || !deployment.engines[0].runs().is_empty()).await;
 }
 
-/// Watches the engine and returns how late items came.
+/// Observes the engine and returns how long after the end late items arrived, in milliseconds.
 async fn late_items(deployment: &Deployment, ended: Instant, in_force: Duration) -> Vec<u128> {
     havenstage_clock::sleep_until(ended + in_force).await;
     let begun = deployment.engines[0].runs().len();
@@ -115,35 +114,38 @@
         begun < MANY_ITEMS,
         "items still wait when the end is in force"
     );
-    tokio::time::sleep(WATCHED).await;
+    tokio::time::sleep(OBSERVATION_TIME).await;
     late_ms(&deployment.engines[0], is_item, ended, in_force)
 }
 
-async fn late_items_amid(faults: LogFaults) -> Vec<u128> {
+async fn late_items_with_faults(faults: LogFaults) -> Vec<u128> {
     let deployment = Deployment::start(1, 1).await;
     let (owner, other) = (deployment.node("a").await, deployment.node("b").await);
-    hand_in_many_items(&deployment, &owner, false).await;
+    submit_many_items(&deployment, &owner, false).await;
     owner.set_faults(faults);
     let ended = end_at(&other).await;
-    late_items(&deployment, ended, in_force(&owner)).await
+    late_items(&deployment, ended, end_in_force_delay(&owner)).await
 }
 
 #[tokio::test]
 async fn an_owner_that_cannot_read_sends_no_items_of_an_ended_batch() {
-    let plays = troubles_of_reading()
-        .map(|(trouble, faults)| async move { (trouble, late_items_amid(faults).await) });
-    let played = futures::future::join_all(plays).await;
-    let late: Vec<_> = played.iter().filter(|(_, late)| !late.is_empty()).collect();
+    let scenarios = read_faults()
+        .map(|(fault, faults)| async move { (fault, late_items_with_faults(faults).await) });
+    let outcomes = futures::future::join_all(scenarios).await;
+    let late: Vec<_> = outcomes
+        .iter()
+        .filter(|(_, late)| !late.is_empty())
+        .collect();
     assert!(late.is_empty(), "ms after the end: {late:?}");
 }
 
-/// The owner was cut off, and another node claimed its batch. Once the log serves the former owner again,
-/// its first read takes long, be it on its way, in wait for a turn, or behind a pause after refusals.
+/// The owner was disconnected, and another node claimed its batch. When the log serves the former owner again, its first
+/// read takes long, because of a slow answer, a queue or a pause after refusals.
 #[tokio::test]
 async fn a_former_owner_that_waits_for_its_first_read_sends_no_items_of_an_ended_batch() {
     let deployment = Deployment::start(1, 1).await;
     let (former, other) = (deployment.node("a").await, deployment.node("b").await);
-    hand_in_many_items(&deployment, &former, false).await;
+    submit_many_items(&deployment, &former, false).await;
     former.set_faults(LogFaults {
         is_cut: true,
         ..LogFaults::default()
@@ -153,19 +155,19 @@
     })
     .await;
     former.set_faults(LogFaults {
-        read_delay: FOR_EVER,
+        read_delay: LONGER_THAN_TEST,
         ..LogFaults::default()
     });
     let ended = end_at(&other).await;
-    let late = late_items(&deployment, ended, in_force(&former)).await;
+    let late = late_items(&deployment, ended, end_in_force_delay(&former)).await;
     assert!(late.is_empty(), "ms after the end: {late:?}");
 }
 
-async fn late_rewards_amid(faults: LogFaults) -> Vec<u128> {
+async fn late_rewards_with_faults(faults: LogFaults) -> Vec<u128> {
     let deployment = Deployment::start(1, 1).await;
     let (owner, other) = (deployment.node("a").await, deployment.node("b").await);
     let application = &deployment.applications[0];
-    // The reward call is repeated.
+    // The reward call is retried again and again.
     application.behave(|told| told.call = CallBehaviour::OutOfTime);
     let body = write_batch(1, &[("item", "g")], true);
     assert_eq!(submit(owner.callers, "batch", &body).await, 202);
@@ -175,38 +177,38 @@
     .await;
     owner.set_faults(faults);
     let ended = end_at(&other).await;
-    let in_force = in_force(&owner);
-    havenstage_clock::sleep_until(ended + in_force + WATCHED).await;
+    let in_force = end_in_force_delay(&owner);
+    havenstage_clock::sleep_until(ended + in_force + OBSERVATION_TIME).await;
     late_ms(application, is_reward, ended, in_force)
 }
 
 #[tokio::test]
-async fn an_owner_that_cannot_read_makes_no_reward_calls_of_an_ended_batch() {
-    let plays = troubles_of_reading()
-        .map(|(trouble, faults)| async move { (trouble, late_rewards_amid(faults).await) });
-    let played = futures::future::join_all(plays).await;
-    let late: Vec<_> = played
+async fn an_owner_that_cannot_read_makes_no_reward_calls_for_an_ended_batch() {
+    let scenarios = read_faults()
+        .map(|(fault, faults)| async move { (fault, late_rewards_with_faults(faults).await) });
+    let outcomes = futures::future::join_all(scenarios).await;
+    let late: Vec<_> = outcomes
         .iter()
         .filter(|(_, late)| !late.is_empty())
-        .map(|(trouble, late)| (trouble, late.len(), late.last()))
+        .map(|(fault, late)| (fault, late.len(), late.last()))
         .collect();
     assert!(late.is_empty(), "calls and ms after the end: {late:?}");
 }
 
-/// Starts and reward calls that were held back while the log could not be read go on once it can be.
+/// Items and reward calls that were paused while the log could not be read are started once it can be read again.
 #[tokio::test]
-async fn work_that_was_held_back_goes_on() {
+async fn paused_work_resumes() {
     let deployment = Deployment::start(1, 1).await;
     let owner = deployment.node("a").await;
-    hand_in_many_items(&deployment, &owner, true).await;
+    submit_many_items(&deployment, &owner, true).await;
     owner.set_faults(LogFaults {
         is_cut: true,
         ..LogFaults::default()
     });
-    tokio::time::sleep(in_force(&owner)).await;
+    tokio::time::sleep(end_in_force_delay(&owner)).await;
     let begun = deployment.engines[0].runs().len();
     assert!(begun < MANY_ITEMS, "items still wait");
-    tokio::time::sleep(WATCHED).await;
+    tokio::time::sleep(OBSERVATION_TIME).await;
     assert_eq!(deployment.engines[0].runs().len(), begun);
     deployment.engines[0].behave(|told| told.event_pause = Duration::from_millis(5));
     owner.set_faults(LogFaults::default());
@@ -218,13 +220,13 @@
     assert_eq!(deployment.applications[0].seen().len(), MANY_ITEMS);
 }
 
-/// A call made for a batch is not sent to a second back end once the end of the batch is known, though
-/// the first one is silent.
+/// A call made for a batch is not sent to a second back end once the end of the batch is known, even if the first one
+/// does not answer.
 #[tokio::test]
-async fn a_call_of_an_ended_batch_is_not_sent_again() {
+async fn a_call_for_an_ended_batch_is_not_retried() {
     let deployment = Deployment::start(1, 2).await;
     let node = deployment.node("a").await;
-    deployment.engines[0].behave(|told| told.event_pause = FOR_EVER);
+    deployment.engines[0].behave(|told| told.event_pause = LONGER_THAN_TEST);
     for application in &deployment.applications {
         application.behave(|told| told.call = CallBehaviour::Silent);
     }
@@ -251,7 +253,10 @@
         fingerprint: Default::default(),
     };
     let ending = async {
-        wait_until("the call came", || !arrivals(&deployment).is_empty()).await;
+        wait_until("a back end has received the call", || {
+            !arrivals(&deployment).is_empty()
+        })
+        .await;
         end_at(&node).await;
         wait_until("the end is known", || {
             context.write_deadline(&"batch".into()).is_none()
@@ -260,15 +265,15 @@
         Instant::now()
     };
     let (_, known) = tokio::join!(calls::execute(&context, route, call), ending);
-    let again: Vec<u128> = arrivals(&deployment)
+    let late: Vec<u128> = arrivals(&deployment)
         .into_iter()
-        .filter(|at| *at > known + ON_ITS_WAY)
+        .filter(|at| *at > known + MAX_TRANSIT_TIME)
         .map(|at| (at - known).as_millis())
         .collect();
-    assert!(again.is_empty(), "ms after the end was known: {again:?}");
+    assert!(late.is_empty(), "ms after the end was known: {late:?}");
 }
 
-/// When calls came to applications.
+/// Times at which applications received calls.
 fn arrivals(deployment: &Deployment) -> Vec<Instant> {
     let applications = deployment.applications.iter();
     let seen = applications.flat_map(|application| application.seen());
--- a/crates/gateway/tests/following.rs
+++ b/crates/gateway/tests/following.rs
@@ -1,4 +1,4 @@
-//! A node reads only the batches that it runs or is asked about.
+//! A node reads only the batches that it runs or that callers ask it about.
 
 mod support;
 
@@ -17,8 +17,8 @@
 const ITEMS: [(&str, &str); 4] = [("i1", "g1"), ("i2", "g1"), ("i3", "g2"), ("i4", "g2")];
 const BATCHES: [&str; 3] = ["first", "second", "third"];
 const MACHINES: usize = 60;
-/// Callers that ask at the same time.
-const ASKERS: usize = 50;
+/// Callers that make a request at the same time.
+const CONCURRENT_CALLERS: usize = 50;
 
 async fn deployment_of_many_machines() -> Deployment {
     let deployment = Deployment::start(2, 1).await;
@@ -34,13 +34,13 @@
     deployment
 }
 
-fn knows(context: &Context, batch: &str) -> bool {
+fn knows_batch(context: &Context, batch: &str) -> bool {
     let view = context.partition_of(&batch.into());
     let inner = view.lock();
     inner.state.batch(&batch.into()).is_some()
 }
 
-fn knows_who_gives_orders(node: &TestNode) -> bool {
+fn knows_order_lease_holder(node: &TestNode) -> bool {
     node.context()
         .control
         .lock()
@@ -50,18 +50,18 @@
         .is_some()
 }
 
-fn gives_orders(node: &TestNode) -> bool {
+fn holds_order_lease(node: &TestNode) -> bool {
     let control = node.context().control.lock();
     control.state.lease().is_held_by(&node.context().node)
 }
 
-/// A node that has nothing to do with batches; the one that gives orders must know them all.
-async fn bystander<'a>(nodes: &'a [&'a TestNode]) -> &'a TestNode {
-    wait_until("it is known who gives orders", || {
-        nodes.iter().all(|node| knows_who_gives_orders(node))
+/// A node that has no task that needs batches; the order lease holder must read them all.
+async fn uninvolved_node<'a>(nodes: &'a [&'a TestNode]) -> &'a TestNode {
+    wait_until("the order lease holder is known", || {
+        nodes.iter().all(|node| knows_order_lease_holder(node))
     })
     .await;
-    nodes.iter().find(|node| !gives_orders(node)).unwrap()
+    nodes.iter().find(|node| !holds_order_lease(node)).unwrap()
 }
 
 #[tokio::test]
@@ -70,27 +70,27 @@
     let owner = deployment.node("owner").await;
     let (one, two) = (deployment.node("one").await, deployment.node("two").await);
     let nodes = [&one, &two];
-    let bystander = bystander(&nodes).await;
+    let uninvolved = uninvolved_node(&nodes).await;
     for batch in BATCHES {
         let body = write_batch(1, &ITEMS, false);
         assert_eq!(submit(owner.callers, batch, &body).await, 202);
         wait_for_results(owner.callers, batch, ITEMS.len()).await;
     }
-    // Longer than a node among so many machines waits between two reads.
+    // Longer than the pause between two reads of a node in a fleet of this size.
     tokio::time::sleep(Duration::from_millis(1_000)).await;
     assert!(
         BATCHES
             .iter()
-            .all(|batch| !knows(bystander.context(), batch))
+            .all(|batch| !knows_batch(uninvolved.context(), batch))
     );
-    let lines = wait_for_results(bystander.callers, BATCHES[0], ITEMS.len()).await;
+    let lines = wait_for_results(uninvolved.callers, BATCHES[0], ITEMS.len()).await;
     assert_eq!(lines.len(), ITEMS.len());
-    assert!(knows(bystander.context(), BATCHES[0]));
+    assert!(knows_batch(uninvolved.context(), BATCHES[0]));
 }
 
-/// Whoever asks about a batch makes a node follow it, and that node claims it once its owner is gone.
+/// A node that is asked about a batch follows it, and claims it once its owner is dead.
 #[tokio::test]
-async fn a_batch_of_a_dead_owner_goes_on_where_it_is_asked_about() {
+async fn a_batch_of_a_dead_owner_resumes_at_a_node_that_is_asked_about_it() {
     let deployment = deployment_of_many_machines().await;
     let mut owner = deployment.node("owner").await;
     let other = deployment.node("other").await;
@@ -108,9 +108,9 @@
     assert_eq!(lines.len(), ITEMS.len());
 }
 
-/// The owner of a route's last batch runs the next one, whichever node it is handed in at.
+/// The owner of a route's last batch runs the next one, whichever node it is submitted to.
 #[tokio::test]
-async fn a_route_stays_with_its_owner() {
+async fn the_owner_of_a_routes_last_batch_runs_the_next_one() {
     let deployment = deployment_of_many_machines().await;
     let (owner, other) = (
         deployment.node("owner").await,
@@ -131,24 +131,24 @@
     assert!(lease.is_held_by(&owner.context().node));
 }
 
-/// Readers that ask at the same time share the questions to the log.
+/// Concurrent callers share the reads of the log.
 #[tokio::test]
-async fn questions_to_the_log_are_shared() {
+async fn concurrent_reads_of_the_log_are_shared() {
     let deployment = deployment_of_many_machines().await;
     let log = NodeLog::new(&deployment.log);
     let node = deployment.node("node").await;
     let context = node.context().clone();
     let view = context.partition_of(&"batch".into());
     let ask = || view.confirm(log.as_ref(), context.clock, Duration::ZERO);
-    let answers = futures::future::join_all((0..ASKERS).map(|_| ask())).await;
+    let answers = futures::future::join_all((0..CONCURRENT_CALLERS).map(|_| ask())).await;
     assert!(answers.iter().all(Result::is_ok));
     assert!(log.reads() <= 2, "{} reads", log.reads());
 }
 
-/// The store wakes no reader of a topic that is created while it waits, so an owner that reads before a
-/// batch's items are there would see them only with its next read.
+/// The store does not wake a reader of a topic that is created while the reader waits, so an owner that reads before a
+/// batch's items are in the log would see them only with its next read.
 #[tokio::test]
-async fn a_batch_is_told_of_once_its_items_are_there() {
+async fn the_notice_of_a_batch_follows_its_items() {
     let deployment = deployment_of_many_machines().await;
     let node = deployment.node("node").await;
     node.set_faults(LogFaults {
@@ -173,13 +173,12 @@
     matches!(decoded, Ok(ControlRecord::BatchAccepted(_)))
 }
 
-/// Time for which callers go on asking a log that refuses them.
-const ASKED_AGAIN: Duration = Duration::from_millis(1_000);
+/// Time for which reads that the log refuses are retried.
+const RETRY_TIME: Duration = Duration::from_millis(1_000);
 
-/// Callers that wait while the log refuses reads ask again with one call for all of them: the log is asked
-/// too much already.
+/// Callers that wait while the log throttles reads share each retry, since the log receives too many calls already.
 #[tokio::test]
-async fn questions_that_are_refused_are_shared_when_they_are_asked_again() {
+async fn retries_of_throttled_reads_are_shared() {
     let deployment = deployment_of_many_machines().await;
     let log = NodeLog::with_faults(
         &deployment.log,
@@ -191,10 +190,10 @@
     let node = deployment.node("node").await;
     let context = node.context().clone();
     let view = context.partition_of(&"batch".into());
-    let until = havenstage_clock::Instant::now() + ASKED_AGAIN;
+    let until = havenstage_clock::Instant::now() + RETRY_TIME;
     let ask = || view.confirm_until(log.as_ref(), context.clock, Duration::ZERO, until);
-    let answers = futures::future::join_all((0..ASKERS).map(|_| ask())).await;
+    let answers = futures::future::join_all((0..CONCURRENT_CALLERS).map(|_| ask())).await;
     assert!(answers.iter().all(Result::is_err));
-    assert!(havenstage_clock::Instant::now() < until + ASKED_AGAIN / 2);
+    assert!(havenstage_clock::Instant::now() < until + RETRY_TIME / 2);
     assert!((2..=20).contains(&log.reads()), "{} reads", log.reads());
 }
--- a/crates/gateway/tests/intake.rs
+++ b/crates/gateway/tests/intake.rs
@@ -1,8 +1,8 @@
-//! A node calls itself ready only while it takes callers' connections.
+//! A node reports itself ready only while it accepts callers' connections.
 //!
-//! What happened: a process that has used up its descriptors fails at each accept, one every 20 ms, while
-//! readiness is still asked on a connection that was opened before. The node went on saying that it was
-//! ready, so callers were sent to a machine that took none of them.
+//! Guards against a node that reports itself ready although it has used up its file descriptors. Each accept then fails,
+//! one every 20 ms, but readiness is still checked on a connection that was opened before, so callers are sent to a
+//! machine that accepts none of their connections.
 
 mod support;
 
@@ -15,26 +15,26 @@
 use support::deployment::{Deployment, wait_until};
 use tokio::net::TcpStream;
 
-/// Set in the process that has few descriptors.
-const INNER: &str = "HAVENSTAGE_TEST_FEW_DESCRIPTORS";
-const NAME: &str = "a_node_that_cannot_take_connections_is_not_ready";
+/// Environment variable that is set in the process with few file descriptors.
+const FEW_DESCRIPTORS_ENV: &str = "HAVENSTAGE_TEST_FEW_DESCRIPTORS";
+const TEST_NAME: &str = "a_node_that_cannot_accept_connections_is_not_ready";
 
-/// Runs this test again in a process that may have few descriptors, as using up those of this process
-/// would concern all its tests.
+/// Runs this test again in a process with a low limit of file descriptors, since using up those of this process would
+/// affect its other tests.
 fn run_with_few_descriptors() {
     let status = Command::new("sh")
         .args(["-c", "ulimit -n 128 && exec \"$0\" --exact \"$1\""])
         .arg(std::env::current_exe().unwrap())
-        .arg(NAME)
-        .env(INNER, "1")
+        .arg(TEST_NAME)
+        .env(FEW_DESCRIPTORS_ENV, "1")
         .status()
         .unwrap();
     assert!(status.success(), "{status}");
 }
 
 #[tokio::test]
-async fn a_node_that_cannot_take_connections_is_not_ready() {
-    if std::env::var_os(INNER).is_none() {
+async fn a_node_that_cannot_accept_connections_is_not_ready() {
+    if std::env::var_os(FEW_DESCRIPTORS_ENV).is_none() {
         return run_with_few_descriptors();
     }
     let deployment = Deployment::start(0, 1).await;
@@ -43,14 +43,14 @@
     wait_until("it is ready", || is_ready(node.context())).await;
     let mut taken = Vec::new();
     let mut waiting = Vec::new();
-    // Again, as connections that were open before may close on the way and leave room.
+    // Repeated, since connections that were open before may close in the meantime and free descriptors.
     for _ in 0..20 {
         while let Ok(file) = File::open("/dev/null") {
             taken.push(file);
         }
         // The caller's side of a connection gets the last descriptor, so the node's side gets none.
         taken.pop();
-        // It fails if the node was quicker; then the next round is another try.
+        // This fails if the node takes the descriptor first; the next round tries again.
         waiting.extend(TcpStream::connect(node.callers).await.ok());
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
@@ -61,9 +61,9 @@
     assert_eq!(call(node.callers, "call", "/calls/path").await.status, 200);
 }
 
-/// Connections that come and go are no failure to take them.
+/// Connections that close right after they were opened don't count as failed accepts.
 #[tokio::test]
-async fn callers_that_leave_at_once_do_not_make_a_node_unready() {
+async fn callers_that_disconnect_at_once_do_not_make_a_node_unready() {
     let deployment = Deployment::start(0, 1).await;
     let node = deployment.node("a").await;
     wait_until("it is ready", || is_ready(node.context())).await;
--- a/crates/gateway/tests/missed_records.rs
+++ b/crates/gateway/tests/missed_records.rs
@@ -1,14 +1,11 @@
-//! What a node says of a batch whose records were dropped before it read them.
+//! What a node answers about a batch whose records were dropped from the log before the node read them.
 //!
-//! What happened: two nodes knew a batch; one ran it, the other had read its beginning and then followed
-//! its partition no more. Records were dropped, the second node was asked again, and forgot the batch, as
-//! its positions could not be known. From then on it took the batch for one that does not exist: it
-//! answered 404 though the batch was open at its owner, and 15 s after the batch was handed in it told all
-//! nodes that nothing is left to be done about it, so that its owner let go of it too. A node that started
-//! after the records were dropped did the same, though it had missed nothing that it could have read.
-//!
-//! What settled it: the statuses of a read, of an item's body and of an end were 404 at that node, while the
-//! owner answered 200 with the batch's one result; watched for 20 s, the batch was closed 7.6 s before the end.
+//! Guards against treating such a batch as one that does not exist. One node runs the batch; a second one has read its
+//! beginning and no longer follows its partition. Records are dropped, the second node reads again, and forgets the batch,
+//! since the positions of its results can't be known. If it then takes the batch for unknown, it answers reads, item bodies
+//! and ends with 404 while the owner answers 200, and 15 s after the submission it announces that the batch is closed, so
+//! that its owner drops the batch too; within the 20 s of observation here that is 7.6 s before the end. The same holds
+//! for a node that started after the records were dropped.
 
 mod support;
 
@@ -29,14 +26,14 @@
 use support::log::NodeLog;
 
 const ITEMS: [(&str, &str); 2] = [("i1", "g"), ("i2", "g")];
-/// Longer than a node follows what somebody asked about.
-const FOLLOWED_NO_MORE: Duration = Duration::from_millis(2_500);
-/// Longer than it takes until a batch without items counts as one that never came, shorter than its items
-/// may wait.
-const WATCHED: Duration = Duration::from_secs(20);
-
-/// A batch at its owner, and a node that has missed records of it.
-async fn owner_and_one_that_missed() -> (Deployment, TestNode, TestNode) {
+/// Longer than a node follows a partition after a caller has asked about one of its batches.
+const PAST_FOLLOWING: Duration = Duration::from_millis(2_500);
+/// Longer than the time after which a batch with missing items is closed, shorter than the time after which waiting items
+/// are given up.
+const OBSERVATION_TIME: Duration = Duration::from_secs(20);
+
+/// Starts a batch at its owner and lets a second node miss records of it. Returns the deployment, the owner and that node.
+async fn owner_and_node_with_missed_records() -> (Deployment, TestNode, TestNode) {
     let deployment = Deployment::start(0, 0).await;
     let (owner, other) = (deployment.node("a").await, deployment.node("b").await);
     assert_eq!(
@@ -44,7 +41,7 @@
         202
     );
     assert_eq!(results(other.callers, "batch", 0).await, (200, Vec::new()));
-    tokio::time::sleep(FOLLOWED_NO_MORE).await;
+    tokio::time::sleep(PAST_FOLLOWING).await;
     let partition = owner.context().partition_of(&"batch".into()).id;
     let log = NodeLog::new(&deployment.log);
     let given_up = BatchRecord::Finished {
@@ -63,8 +60,8 @@
 }
 
 #[tokio::test]
-async fn a_node_that_missed_records_of_a_batch_does_not_say_that_there_is_none() {
-    let (_deployment, owner, other) = owner_and_one_that_missed().await;
+async fn a_node_that_missed_records_of_a_batch_does_not_answer_not_found() {
+    let (_deployment, owner, other) = owner_and_node_with_missed_records().await;
     let read = results(other.callers, "batch", 0).await.0;
     let item = send(
         other.callers,
@@ -86,15 +83,15 @@
 }
 
 #[tokio::test]
-async fn a_node_that_missed_records_of_a_batch_does_not_close_it_for_all() {
-    let (_deployment, owner, other) = owner_and_one_that_missed().await;
-    stays_open_while_read_at(&other, &owner).await;
+async fn a_node_that_missed_records_of_a_batch_does_not_close_it() {
+    let (_deployment, owner, other) = owner_and_node_with_missed_records().await;
+    assert_stays_open_while_read_at(&other, &owner).await;
 }
 
-async fn stays_open_while_read_at(node: &TestNode, owner: &TestNode) {
-    let until = Instant::now() + WATCHED;
+async fn assert_stays_open_while_read_at(node: &TestNode, owner: &TestNode) {
+    let until = Instant::now() + OBSERVATION_TIME;
     while Instant::now() < until {
-        // Somebody asks, so that the partition is followed.
+        // The node follows the partition while it is asked about the batch.
         results(node.callers, "batch", 0).await;
         let is_open = is_open_in_index(owner);
         let left = until.saturating_duration_since(Instant::now());
@@ -103,23 +100,24 @@
     }
 }
 
-/// Without its owner's word the node can't know either: another one that has read the batch may claim it.
+/// The node can't know the batch's state after its owner's death either: another node that has read the batch may claim
+/// it.
 #[tokio::test]
 async fn a_node_that_missed_records_neither_claims_nor_closes_a_batch_whose_owner_died() {
-    let (_deployment, mut owner, other) = owner_and_one_that_missed().await;
+    let (_deployment, mut owner, other) = owner_and_node_with_missed_records().await;
     owner.kill();
-    stays_open_while_read_at(&other, &other).await;
+    assert_stays_open_while_read_at(&other, &other).await;
     assert!(!other.context().holds(&"batch".into()));
 }
 
-/// An end of a batch that its owner runs counts wherever it is handed in, and at the owner too.
+/// The end of a batch that its owner runs is accepted at any node, and takes effect at the owner.
 #[tokio::test]
-async fn a_node_that_missed_records_of_a_batch_takes_its_end() {
-    let (_deployment, owner, other) = owner_and_one_that_missed().await;
+async fn a_node_that_missed_records_of_a_batch_accepts_its_end() {
+    let (_deployment, owner, other) = owner_and_node_with_missed_records().await;
     assert_eq!(results(other.callers, "batch", 0).await.0, 503);
     assert_eq!(end(other.callers, "batch").await, 200);
     let known = results(owner.callers, "batch", 0).await;
-    assert_eq!((known.0, known.1.len()), (200, 1), "what is listed stays");
+    assert_eq!((known.0, known.1.len()), (200, 1), "listed results stay");
     let id = BatchId::from("batch");
     wait_until("the owner has read the end", || {
         let inner = owner.context().partition_of(&id).lock();
@@ -128,10 +126,10 @@
     .await;
 }
 
-/// Of a batch that nobody has named the node can't know whether it was handed in in the gap.
+/// If no node has named a batch, this node can't know whether the records that it missed held the submission.
 #[tokio::test]
-async fn a_node_that_missed_records_refuses_calls_on_batches_that_it_does_not_know() {
-    let (_deployment, owner, other) = owner_and_one_that_missed().await;
+async fn a_node_that_missed_records_refuses_calls_on_unknown_batches() {
+    let (_deployment, owner, other) = owner_and_node_with_missed_records().await;
     results(other.callers, "batch", 0).await;
     let unknown = id_in_the_partition_of_batch(&other, "unknown");
     let refused = statuses(&other, &unknown, "i1").await;
@@ -140,14 +138,14 @@
     assert_eq!(at_owner, [404, 404, 404], "read, item, end");
 }
 
-/// What was missed says nothing of a batch that is handed in after the gap.
+/// Missed records don't affect a batch that is submitted after them.
 #[tokio::test]
-async fn a_batch_handed_in_after_the_gap_is_run_by_a_node_that_missed_records() {
-    let (deployment, owner, other) = owner_and_one_that_missed().await;
+async fn a_batch_submitted_after_missed_records_is_run() {
+    let (deployment, owner, other) = owner_and_node_with_missed_records().await;
     assert_eq!(results(other.callers, "batch", 0).await.0, 503);
     let later = id_in_the_partition_of_batch(&other, "later");
     let body = write_batch(1, &ITEMS, false);
-    // A route of its own, as the next batch of a route goes to the owner of the last one.
+    // On another route, since the next batch of a route goes to the owner of the route's last batch.
     let path = "/batches/single/b";
     assert_eq!(submit_to(other.callers, path, &later, &body).await, 202);
     assert_eq!(results(other.callers, &later, 0).await, (200, Vec::new()));
@@ -167,13 +165,17 @@
     assert_eq!(end(other.callers, &later).await, 200);
 }
 
-/// A node that starts after a batch's beginning was dropped has read nothing before the gap. Its owner still
-/// runs the batch, and says so.
+/// A node that starts after a batch's first records were dropped has read nothing before them, but the owner's heartbeats
+/// name the batch.
 #[tokio::test]
-async fn a_node_that_starts_after_records_were_dropped_denies_no_batch_that_its_owner_runs() {
-    let (deployment, _owner, _other) = owner_and_one_that_missed().await;
+async fn a_node_that_starts_after_records_were_dropped_does_not_answer_not_found_for_a_running_batch()
+ {
+    let (deployment, _owner, _other) = owner_and_node_with_missed_records().await;
     let late = deployment.node("c").await;
-    wait_until("the late node hears of the batch", || is_found_at(&late)).await;
+    wait_until("the late node knows that the batch was found", || {
+        is_found_at(&late)
+    })
+    .await;
     assert_eq!(results(late.callers, "batch", 0).await.0, 503);
     assert_eq!(item_status(&late, "batch", "i2").await, 503);
     let unknown = id_in_the_partition_of_batch(&late, "unknown");
@@ -183,10 +185,10 @@
 }
 
 #[tokio::test]
-async fn a_node_that_starts_after_records_were_dropped_closes_no_batch_that_its_owner_runs() {
-    let (deployment, owner, _other) = owner_and_one_that_missed().await;
+async fn a_node_that_starts_after_records_were_dropped_does_not_close_a_running_batch() {
+    let (deployment, owner, _other) = owner_and_node_with_missed_records().await;
     let late = deployment.node("c").await;
-    stays_open_while_read_at(&late, &owner).await;
+    assert_stays_open_while_read_at(&late, &owner).await;
 }
 
 async fn end(callers: SocketAddr, batch: &str) -> u16 {
@@ -201,14 +203,14 @@
     answer.unwrap().status.as_u16()
 }
 
-/// Statuses of a read, of an item's body and of an end.
+/// Statuses of a read of results, a read of an item's body and an end.
 async fn statuses(node: &TestNode, batch: &str, item: &str) -> [u16; 3] {
     let read = results(node.callers, batch, 0).await.0;
     let item = item_status(node, batch, item).await;
     [read, item, end(node.callers, batch).await]
 }
 
-/// An id that begins so, of a batch that lies in the same partition as "batch".
+/// A batch id that begins with `prefix` and belongs to the same partition as "batch".
 fn id_in_the_partition_of_batch(node: &TestNode, prefix: &str) -> String {
     let partition_of = |id: &str| node.context().partition_of(&id.into()).id;
     let mut ids = (0..).map(|number| format!("{prefix}-{number}"));
--- a/crates/gateway/tests/reading_after_restart.rs
+++ b/crates/gateway/tests/reading_after_restart.rs
@@ -1,11 +1,10 @@
-//! Batches are read to the end of their retention, also when all nodes have just been started anew and
-//! the log answers with refusals, silence or delay.
+//! Batches can be read until the end of their retention, also when all nodes have just restarted and the log refuses
+//! reads, does not answer them, or is slow.
 //!
-//! What happened: two batches that had been accepted and ended could not be read at the end of a long
-//! day, 55 and 72 s after their end, though they are promised for 120 s from their start. All nodes had
-//! lost power shortly before; readers had ten seconds, and began anew after each failure. The log still
-//! held every record. A node that has just started knows no batch: it must read the batch's partition to
-//! the end before it answers, several calls in a row, and one refused call failed the whole answer.
+//! Guards against ended batches that can't be read although the log still holds every record: with a retention of 120 s,
+//! reads 55 and 72 s after the end failed because all nodes had just lost power. A node that has just started knows no
+//! batch and must read the batch's partition to its end, with several calls in a row, before it answers; if one refused
+//! call fails the whole answer, readers that have ten seconds and start over after each failure never finish.
 
 mod support;
 
@@ -24,22 +23,22 @@
 
 /// Time that readers have after traffic has ended.
 const TIME_TO_READ: Duration = Duration::from_secs(10);
-/// Time that a caller waits longer than it allows the node to wait.
-const CALLERS_PATIENCE: Duration = Duration::from_millis(1_500);
+/// Time beyond the allowed wait after which a caller gives up.
+const CALLER_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Time between two reads of a caller.
 const POLL_PAUSE: Duration = Duration::from_millis(500);
 
-/// Few enough for a reader that allows a wait to come to its first node again in the time that it has.
+/// Few enough that a reader that allows a wait gets back to its first node within its time.
 const NODES: usize = 3;
 const BATCHES: usize = 4;
 const ITEMS: usize = 24;
 /// Results after which a caller ends its batch.
 const READ_BEFORE_END: usize = 8;
-/// Reads that it takes to load a batch from the log.
+/// Number of reads that it takes to load a batch from the log.
 const PAGES_OF_A_BATCH: u64 = 8;
 
-/// A batch that ran and was ended, and what its readers saw of it.
-struct Known {
+/// A batch that ran and was ended, and the results that were read before the restart.
+struct ExpectedBatch {
     id: String,
     lines: Vec<String>,
 }
@@ -61,17 +60,17 @@
     answer.unwrap().status.as_u16()
 }
 
-async fn start_nodes(deployment: &Deployment, faults: LogFaults, life: &str) -> Vec<TestNode> {
+async fn start_nodes(deployment: &Deployment, faults: LogFaults, prefix: &str) -> Vec<TestNode> {
     let mut nodes = Vec::new();
     for at in 0..NODES {
         let log = NodeLog::with_faults(&deployment.log, faults);
-        nodes.push(TestNode::start_with_log(log, &format!("{life}-{at}")).await);
+        nodes.push(TestNode::start_with_log(log, &format!("{prefix}-{at}")).await);
     }
     nodes
 }
 
 /// Runs batches and ends each of them before all of its items are listed.
-async fn run_and_end(nodes: &[TestNode]) -> Vec<Known> {
+async fn run_and_end(nodes: &[TestNode]) -> Vec<ExpectedBatch> {
     let mut known = Vec::new();
     for at in 0..BATCHES {
         let id = format!("batch-{at}");
@@ -79,12 +78,12 @@
         assert_eq!(submit(address, &id, &body(&id)).await, 202);
         wait_for_results(address, &id, READ_BEFORE_END).await;
         assert_eq!(end(address, &id).await, 200);
-        known.push(Known {
+        known.push(ExpectedBatch {
             id,
             lines: Vec::new(),
         });
     }
-    // Results of items that ended meanwhile may be listed behind the end.
+    // Results of items that finished in the meantime may be listed after the end.
     tokio::time::sleep(Duration::from_millis(600)).await;
     for batch in &mut known {
         let (status, lines) = results(nodes[0].callers, &batch.id, 0).await;
@@ -95,7 +94,7 @@
     known
 }
 
-/// A page for a caller that leaves when it has waited for as long as it wants.
+/// Reads a page as a caller that disconnects after its timeout; `None` for any failure.
 async fn page(
     address: SocketAddr,
     batch: &str,
@@ -106,15 +105,15 @@
     let wait = wait_ms.unwrap_or(0).to_string();
     let headers = [("x-wait", wait.as_str())];
     let headers = if wait_ms.is_some() { &headers[..] } else { &[] };
-    let patience = CALLERS_PATIENCE + Duration::from_millis(wait_ms.unwrap_or(0));
+    let timeout = CALLER_TIMEOUT + Duration::from_millis(wait_ms.unwrap_or(0));
     let answer = send(address, Method::GET, &path, headers, "");
-    let answer = tokio::time::timeout(patience, answer).await.ok()?.ok()?;
+    let answer = tokio::time::timeout(timeout, answer).await.ok()?.ok()?;
     let is_read = answer.status == 200;
     is_read.then(|| text(&answer).lines().skip(1).map(str::to_owned).collect())
 }
 
-/// Reads a batch from its start, and anew from its start at the next node after every failure.
-async fn read_whole(
+/// Reads a batch from its start, and after every failure again from its start at the next node.
+async fn read_all(
     nodes: Vec<SocketAddr>,
     first: usize,
     batch: &str,
@@ -141,22 +140,22 @@
     lines
 }
 
-/// Bytes of a page with which a batch takes so many reads.
+/// Page size in bytes at which loading a batch takes [`PAGES_OF_A_BATCH`] reads.
 fn page_bytes(deployment: &Deployment, partitions: &[StreamPartition]) -> usize {
     let bytes = partitions.iter().map(|id| deployment.log.bytes_of(*id));
     (bytes.min().unwrap_or(0) / PAGES_OF_A_BATCH) as usize
 }
 
-/// All nodes lose power after batches have run and ended, are started anew before a log with these faults,
-/// and all batches are read, in one deployment with leave to wait and in another one without.
+/// All nodes are killed after batches have run and ended, and restart with these faults of the log. Then all batches are
+/// read, in one deployment by callers that allow a wait and in another one by callers that don't.
 async fn batches_are_read_after_a_restart(faults: LogFaults) {
     tokio::join!(
-        batches_are_read_so(faults, None),
-        batches_are_read_so(faults, Some(1_000))
+        read_batches_after_restart(faults, None),
+        read_batches_after_restart(faults, Some(1_000))
     );
 }
 
-async fn batches_are_read_so(faults: LogFaults, wait_ms: Option<u64>) {
+async fn read_batches_after_restart(faults: LogFaults, wait_ms: Option<u64>) {
     let deployment = Deployment::start(2, 1).await;
     slow_down(&deployment.engines);
     let mut nodes = start_nodes(&deployment, LogFaults::default(), "first").await;
@@ -184,13 +183,13 @@
     let addresses: Vec<SocketAddr> = nodes.iter().map(|node| node.callers).collect();
     let readers = known.iter().enumerate().map(|(at, batch)| {
         let (id, count) = (&batch.id, batch.lines.len());
-        read_whole(addresses.clone(), at, id, count, wait_ms)
+        read_all(addresses.clone(), at, id, count, wait_ms)
     });
     let read = futures::future::join_all(readers).await;
     for (batch, lines) in known.iter().zip(read) {
         assert_eq!(
             lines, batch.lines,
-            "{} with leave to wait {wait_ms:?} ms was not read as before",
+            "{} with an allowed wait of {wait_ms:?} ms was not read as before",
             batch.id
         );
     }
@@ -207,7 +206,7 @@
     batches_are_read_after_a_restart(LogFaults::default()).await;
 }
 
-/// Half of the reads are refused because all nodes have just started and ask too much together.
+/// Half of the reads are throttled, since all nodes have just started and together make too many calls.
 #[tokio::test]
 async fn batches_are_read_after_a_restart_while_the_log_refuses_half_of_the_reads() {
     batches_are_read_after_a_restart(LogFaults {
@@ -217,7 +216,7 @@
     .await;
 }
 
-/// Each read takes so long that a caller has left before its batch is loaded.
+/// Each read takes so long that a caller has disconnected before its batch is loaded.
 #[tokio::test]
 async fn batches_are_read_after_a_restart_while_the_log_is_slow() {
     batches_are_read_after_a_restart(LogFaults {
@@ -227,7 +226,7 @@
     .await;
 }
 
-/// The first reads of each node meet connections that have gone silent.
+/// The first reads of each node use connections that have gone silent.
 #[tokio::test]
 async fn batches_are_read_after_a_restart_while_first_reads_get_no_answer() {
     batches_are_read_after_a_restart(LogFaults {
@@ -237,7 +236,7 @@
     .await;
 }
 
-/// The directories can't be listed, so that no configuration is known; reads of batches need none.
+/// The directories can't be listed, so no configuration is known; reading a batch needs none.
 #[tokio::test]
 async fn batches_are_read_before_a_configuration_is_known() {
     batches_are_read_after_a_restart(LogFaults {
@@ -247,7 +246,7 @@
     .await;
 }
 
-/// A batch with nothing listed is read as one that has ended with no results, not as one that is not there.
+/// An ended batch without results is answered as such at once, not as one that does not exist.
 #[tokio::test]
 async fn an_ended_batch_without_results_is_read_after_a_restart() {
     let deployment = Deployment::start(1, 1).await;
@@ -261,11 +260,14 @@
         let began = Instant::now();
         let lines = page(node.callers, "batch", 0, wait_ms).await;
         assert_eq!(lines, Some(Vec::new()));
-        assert!(began.elapsed() < Duration::from_millis(900), "it was held");
+        assert!(
+            began.elapsed() < Duration::from_millis(900),
+            "the answer was held back"
+        );
     }
 }
 
-/// Bodies of items that are not listed yet are asked for after the restart, again after every failure.
+/// The body of an item without a result is read after the restart, with a retry after every failure.
 #[tokio::test]
 async fn bodies_are_read_after_a_restart_while_the_log_refuses_half_of_the_reads() {
     let deployment = Deployment::start(1, 1).await;
@@ -283,15 +285,18 @@
     let until = Instant::now() + TIME_TO_READ;
     let mut asked = 0;
     let found = loop {
-        assert!(Instant::now() < until, "no body came in {asked} calls");
+        assert!(
+            Instant::now() < until,
+            "no body was received in {asked} calls"
+        );
         let address = nodes[asked % NODES].callers;
         asked += 1;
         let path = "/results/batch?item=item-3-of-batch";
         let answer = send(address, Method::GET, path, &[], "");
-        let answer = tokio::time::timeout(CALLERS_PATIENCE, answer).await;
+        let answer = tokio::time::timeout(CALLER_TIMEOUT, answer).await;
         match answer {
             Ok(Ok(answer)) if answer.status == 200 => break answer,
-            Ok(Ok(answer)) => assert_eq!(answer.status, 503, "the body is there"),
+            Ok(Ok(answer)) => assert_eq!(answer.status, 503, "the body exists"),
             _ => {}
         }
         tokio::time::sleep(POLL_PAUSE).await;
@@ -299,10 +304,10 @@
     assert_eq!(text(&found), "body of item-3-of-batch");
 }
 
-/// A node that is cut off from the log knows a batch whole. Its results never change and nothing can come
-/// behind the last one, so it answers all reads of it.
+/// A node that is disconnected from the log, but has read a batch completely, answers all reads of it: results never
+/// change, and none can follow the last one.
 #[tokio::test]
-async fn a_node_that_is_cut_off_answers_reads_of_a_batch_that_it_knows_whole() {
+async fn a_disconnected_node_answers_reads_of_a_batch_that_it_has_read_completely() {
     let deployment = Deployment::start(2, 1).await;
     let node = deployment.node("node").await;
     assert_eq!(submit(node.callers, "batch", &body("batch")).await, 202);
@@ -314,16 +319,16 @@
     tokio::time::sleep(Duration::from_millis(600)).await;
     let read = page(node.callers, "batch", 0, None).await;
     assert_eq!(read, Some(lines));
-    let behind = page(node.callers, "batch", ITEMS, None).await;
+    let after_last = page(node.callers, "batch", ITEMS, None).await;
     assert_eq!(
-        behind,
+        after_last,
         Some(Vec::new()),
-        "nothing can come behind the last result"
+        "no result can follow the last one"
     );
 }
 
-/// A node that has not been in touch with the log for long refuses at once, so that callers ask another one
-/// in the time that they have.
+/// A node that has had no answer of the log for long refuses at once, so that callers can ask another node within their
+/// time.
 #[tokio::test]
 async fn a_node_that_lost_the_log_refuses_reads_at_once() {
     let deployment = Deployment::start(1, 1).await;
@@ -341,11 +346,11 @@
     assert!(began.elapsed() < Duration::from_millis(500));
 }
 
-/// Longer than a node of these tests keeps what is past its retention, with its pause between two looks.
+/// Longer than a node of these tests keeps state past its retention, including the pause between two cleanups.
 const PAST_RETENTION: Duration = Duration::from_secs(17);
 
-/// A node that keeps batches no longer than it must.
-async fn forgetful_node(deployment: &Deployment, name: &str) -> TestNode {
+/// A node with a retention of zero.
+async fn node_without_retention(deployment: &Deployment, name: &str) -> TestNode {
     let mut settings = settings(name);
     settings.bounds.retention_s = 0.0;
     let node = TestNode::start_with_settings(NodeLog::new(&deployment.log), settings).await;
@@ -353,14 +358,13 @@
     node
 }
 
-/// A batch that waits for a version of the weights is past the retention while it is open; positions are promised as long as a
-/// batch is open. Its owner goes on with it, and a node that was asked about it once finds it again: what a
-/// node has forgotten the log still holds.
+/// A batch that waits for a weight version is still open past its retention, and positions in its results stay valid while
+/// it is open. Its owner keeps running it, and a node that has forgotten it reads it again from the log.
 #[tokio::test]
-async fn a_batch_that_is_open_is_read_past_its_retention() {
+async fn an_open_batch_can_be_read_past_its_retention() {
     let deployment = Deployment::start(1, 1).await;
-    let owner = forgetful_node(&deployment, "owner").await;
-    let other = forgetful_node(&deployment, "other").await;
+    let owner = node_without_retention(&deployment, "owner").await;
+    let other = node_without_retention(&deployment, "other").await;
     let body = write_batch(2, &[("item", "group")], false);
     assert_eq!(submit(owner.callers, "batch", &body).await, 202);
     let nothing = Some(Vec::new());
--- a/crates/gateway/tests/restart.rs
+++ b/crates/gateway/tests/restart.rs
@@ -1,4 +1,4 @@
-//! A restart of many machines at once: what each node reads follows its own work, not that of all.
+//! When many machines restart at once, the amount that each node reads depends on its own work, not on that of all nodes.
 
 mod support;
 
@@ -15,17 +15,16 @@
 use support::dialect::write_batch;
 use support::log::NodeLog;
 
-/// Batches that were handed in before the restart, at either node.
-const BATCHES_OF_EACH: usize = 12;
-/// Items of each batch; their texts are most of what the log holds.
+/// Batches submitted to each of the two nodes before the restart.
+const BATCHES_PER_NODE: usize = 12;
+/// Items of each batch; their bodies and output are most of what the log holds.
 const ITEMS: usize = 24;
-/// Share of the log's bytes that a node may read after a restart, which had half of the batches and
-/// runs one of them on.
-const MOST_READ_SHARE: f64 = 0.4;
-/// Path of a route of its own.
+/// Share of the log's bytes that a node may read after a restart. It ran half of the batches and has one open batch.
+const MAX_READ_SHARE: f64 = 0.4;
+/// Path of a second route, so that its batches don't go to the owner of the first route's batches.
 const OTHER_ROUTE: &str = "/batches/single/b";
 
-/// Items of a batch; none is in another one, since its output would be kept.
+/// Items of a batch, with ids that differ from those of other batches, since the output of an equal item would be reused.
 fn items(batch: &str) -> Vec<(String, String)> {
     let name = |at: usize| (format!("item-{at}-of-{batch}"), format!("g{}", at / 4));
     (0..ITEMS).map(name).collect()
@@ -41,7 +40,7 @@
 }
 
 async fn run_batches(node: &TestNode, path: &str, name: &str) {
-    for at in 0..BATCHES_OF_EACH {
+    for at in 0..BATCHES_PER_NODE {
         let batch = format!("{name}-{at}");
         assert_eq!(
             submit_to(node.callers, path, &batch, &body(&batch)).await,
@@ -69,8 +68,8 @@
     state.is_some_and(|state| state.lease.is_held_by(&node.context().node))
 }
 
-/// All machines lose power while each node runs a batch: each takes its own up again, and reads that
-/// batch, its trainer's few batches before it, and not what the other node has run.
+/// All nodes are killed while each runs a batch. After the restart each resumes its own batch and reads that batch and the
+/// few earlier ones of its trainer, not the batches that the other node ran.
 #[tokio::test]
 async fn a_restarted_owner_reads_its_own_batches_only() {
     let deployment = Deployment::start(2, 1).await;
@@ -98,27 +97,24 @@
     let held_before = deployment.log.bytes();
     let (one, two) = (deployment.node("one").await, deployment.node("two").await);
     for (node, batch) in [(&one, "open-of-one"), (&two, "open-of-two")] {
-        wait_until("the machine's batch is taken up again", || {
-            holds(node, batch)
-        })
-        .await;
+        wait_until("the machine's batch is resumed", || holds(node, batch)).await;
     }
     for node in [&one, &two] {
         let share = node.log.bytes_read() as f64 / held_before as f64;
         assert!(
-            share < MOST_READ_SHARE,
+            share < MAX_READ_SHARE,
             "read {share:.2} of what the log holds"
         );
     }
 }
 
-/// Records in the control stream when a node starts, as hours of heartbeats leave them.
+/// Records in the control stream when a node starts, about as many as hours of heartbeats produce.
 const LONG_HISTORY: usize = 20_000;
 /// Share of that history that a node may read when it starts.
-const MOST_HISTORY_SHARE: f64 = 0.1;
+const MAX_HISTORY_SHARE: f64 = 0.1;
 
-/// A node that starts takes up a checkpoint, however long the control stream has become, and knows
-/// from it which batches are open.
+/// However long the control stream is, a node that starts restores a checkpoint and learns from it which batches are
+/// open.
 #[tokio::test]
 async fn a_node_that_starts_reads_a_checkpoint_and_what_follows() {
     let deployment = Deployment::start(1, 1).await;
@@ -127,9 +123,10 @@
     let status = submit(first.callers, "open", &body("open")).await;
     assert_eq!(status, 202);
     append_heartbeats(&deployment).await;
-    wait_until("a checkpoint behind the long history is written", || {
-        deployment.log.checkpoint_offset() >= LONG_HISTORY as u64
-    })
+    wait_until(
+        "a checkpoint that covers the long history is written",
+        || deployment.log.checkpoint_offset() >= LONG_HISTORY as u64,
+    )
     .await;
     let held = deployment.log.bytes_of(CONTROL);
     let second = deployment.node("second").await;
@@ -139,7 +136,7 @@
     })
     .await;
     let share = second.log.bytes_read() as f64 / held as f64;
-    assert!(share < MOST_HISTORY_SHARE, "read {share:.2} of the stream");
+    assert!(share < MAX_HISTORY_SHARE, "read {share:.2} of the stream");
 }
 
 async fn append_heartbeats(deployment: &Deployment) {
--- a/crates/gateway/tests/slow_readers.rs
+++ b/crates/gateway/tests/slow_readers.rs
@@ -1,5 +1,5 @@
-//! Callers that ask for large answers and do not take them: a node holds a bounded part of its memory for all of them,
-//! and answers others meanwhile.
+//! Callers that request large answers and don't read them: their answers together hold a bounded share of the node's
+//! memory, and the node keeps answering other callers.
 
 mod support;
 
@@ -16,10 +16,10 @@
 const MEMORY_MB: u32 = 160;
 const READERS: usize = 500;
 const ITEMS: usize = 60;
-/// Events are padded so that all results together are over a megabyte.
-const PADDING: usize = 6_000;
+/// Bytes added to each event, so that all results together exceed a megabyte.
+const EVENT_PADDING_BYTES: usize = 6_000;
 /// The smallest buffer that the system gives a connection, so that answers wait in the node.
-const RECEIVE_BUFFER: u32 = 4_096;
+const RECEIVE_BUFFER_BYTES: u32 = 4_096;
 
 async fn node_with_results(deployment: &Deployment) -> TestNode {
     let mut settings = settings("a");
@@ -28,7 +28,7 @@
     let node = TestNode::start_with_settings(NodeLog::new(&deployment.log), settings).await;
     node.wait_until_known(deployment.engines.len()).await;
     for engine in &deployment.engines {
-        engine.behave(|told| told.event_padding = PADDING);
+        engine.behave(|told| told.event_padding = EVENT_PADDING_BYTES);
     }
     let items: Vec<String> = (0..ITEMS).map(|at| format!("i{at}")).collect();
     let items: Vec<(&str, &str)> = items.iter().map(|item| (item.as_str(), "g")).collect();
@@ -44,10 +44,10 @@
     node
 }
 
-/// Asks for all results and takes none of them.
-async fn ask_and_wait(node: SocketAddr) -> TcpStream {
+/// Requests all results and reads none of them.
+async fn request_without_reading(node: SocketAddr) -> TcpStream {
     let socket = TcpSocket::new_v4().unwrap();
-    socket.set_recv_buffer_size(RECEIVE_BUFFER).unwrap();
+    socket.set_recv_buffer_size(RECEIVE_BUFFER_BYTES).unwrap();
     let mut stream = socket.connect(node).await.unwrap();
     let request = format!("GET /results/batch?from=0 HTTP/1.1\r\nhost: {HOST}\r\n\r\n");
     stream.write_all(request.as_bytes()).await.unwrap();
@@ -55,14 +55,14 @@
 }
 
 #[tokio::test]
-async fn five_hundred_readers_that_take_nothing_hold_a_bounded_part_of_memory() {
+async fn answers_of_500_readers_that_read_nothing_hold_bounded_memory() {
     let deployment = Deployment::start(2, 0).await;
     let node = node_with_results(&deployment).await;
     let answers = &node.context().answers;
     assert_eq!(answers.max_bytes(), 40_000_000);
     let mut readers = Vec::new();
     for _ in 0..READERS {
-        readers.push(ask_and_wait(node.callers).await);
+        readers.push(request_without_reading(node.callers).await);
     }
     let held = || answers.bytes();
     wait_until("answers are held", || held() > 10_000_000).await;
--- a/crates/gateway/tests/support/log.rs
+++ b/crates/gateway/tests/support/log.rs
@@ -1,4 +1,4 @@
-//! A shared log and directories in memory, with faults for each node that uses them.
+//! An in-memory shared log and directories, with faults that are set for each node.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -20,23 +20,23 @@
 
 pub use super::log_faults::LogFaults;
 
-/// What all nodes share: a store in memory, and all records that were ever appended to it.
+/// The part that all nodes share: a store in memory, and all records that were ever appended to it.
 pub struct MemoryLog {
     store: MemoryStore,
-    history: Mutex<Vec<Appending>>,
+    history: Mutex<Vec<AppendedRecord>>,
 }
 
-/// A record and when it came to stand in its partition.
-struct Appending {
+/// A record, its partition, and when it was appended.
+struct AppendedRecord {
     partition: StreamPartition,
     record: Bytes,
     at: Instant,
 }
 
-/// Longer than any test: records are dropped when a test says so.
+/// Longer than any test runs: records are dropped only on a test's request.
 const RETENTION: Duration = Duration::from_secs(24 * 3_600);
 
-/// One entry a page, so that listings of several pages are read, and whole partitions in one answer.
+/// One entry per page, so that listings span several pages; reads return a whole partition in one answer.
 fn store_settings() -> MemoryStoreSettings {
     MemoryStoreSettings {
         retention: RETENTION,
@@ -46,53 +46,53 @@
     }
 }
 
-/// Whether an append writes an order down.
+/// Whether an append contains an order.
 fn is_order(partition: StreamPartition, records: &[Bytes]) -> bool {
-    holds(partition, records, |record| {
+    contains_control_record(partition, records, |record| {
         matches!(record, ControlRecord::Ordered { .. })
     })
 }
 
-/// Whether an append tells of the end of a back end.
+/// Whether an append reports the end of a back end.
 fn is_end(partition: StreamPartition, records: &[Bytes]) -> bool {
-    holds(partition, records, |record| {
+    contains_control_record(partition, records, |record| {
         matches!(record, ControlRecord::BackendEnded { .. })
     })
 }
 
-/// Whether an append writes such a record to the control stream.
-fn holds(
+/// Whether an append writes a record that matches a predicate to the control stream.
+fn contains_control_record(
     partition: StreamPartition,
     records: &[Bytes],
-    is_such: impl Fn(&ControlRecord) -> bool,
+    matches: impl Fn(&ControlRecord) -> bool,
 ) -> bool {
     let mut joiner = Joiner::default();
     let values = records.iter().filter_map(|r| joiner.push(r.clone()));
     let mut values = values.filter_map(|value| ControlRecord::decode(&value).ok());
-    partition.stream == LogStream::Control && values.any(|record| is_such(&record))
+    partition.stream == LogStream::Control && values.any(|record| matches(&record))
 }
 
-/// One node's way to the log.
+/// One node's access to the log, with its faults and counts.
 pub struct NodeLog {
     shared: Arc<MemoryLog>,
     faults: Mutex<LogFaults>,
     listings: AtomicU64,
     reads: AtomicU64,
-    reads_let_in: AtomicU64,
+    admission_checks: AtomicU64,
     reads_of_changes: AtomicU64,
     bytes_read: AtomicU64,
 }
 
-/// How long a call takes that is answered at once.
-const AT_ONCE: Duration = Duration::from_millis(1);
+/// Time that a call takes that is answered immediately.
+const IMMEDIATE_DELAY: Duration = Duration::from_millis(1);
 
-/// How long a slow append takes.
-const SLOW_APPEND: Duration = Duration::from_millis(120);
+/// Time that a slow append takes.
+const SLOW_APPEND_DELAY: Duration = Duration::from_millis(120);
 
-/// How long a call that gets no answer takes.
-const NO_ANSWER: Duration = Duration::from_millis(300);
-/// How long a call on a silent connection takes, as with the users' store.
-const SILENCE: Duration = Duration::from_millis(1_000);
+/// Time after which a call without an answer fails.
+const NO_ANSWER_DELAY: Duration = Duration::from_millis(300);
+/// Time after which a call on a silent connection fails, as with the users' store.
+const SILENT_CONNECTION_DELAY: Duration = Duration::from_millis(1_000);
 
 impl MemoryLog {
     pub fn new() -> Arc<Self> {
@@ -110,61 +110,66 @@
         self.store.write_entry(DirectoryKind::Backends, entry);
     }
 
-    /// What is told of each record ever appended to a partition, in the order of their offsets.
-    fn of_partition<T>(
+    /// Maps each record ever appended to a partition, in the order of offsets.
+    fn map_partition<T>(
         &self,
         partition: StreamPartition,
-        tell: impl Fn(&Appending) -> T,
+        map: impl Fn(&AppendedRecord) -> T,
     ) -> Vec<T> {
         let history = self.history.lock().unwrap();
-        let records = history.iter().filter(|kept| kept.partition == partition);
-        records.map(tell).collect()
+        let records = history
+            .iter()
+            .filter(|appended| appended.partition == partition);
+        records.map(map).collect()
     }
 
     pub fn records(&self, partition: StreamPartition) -> Vec<Bytes> {
-        self.of_partition(partition, |kept| kept.record.clone())
+        self.map_partition(partition, |appended| appended.record.clone())
     }
 
-    /// When each record of a partition came to stand there.
+    /// When each record of a partition was appended.
     pub fn times(&self, partition: StreamPartition) -> Vec<Instant> {
-        self.of_partition(partition, |kept| kept.at)
+        self.map_partition(partition, |appended| appended.at)
     }
 
-    /// Bytes of all records of all partitions.
+    /// Bytes of all records ever appended to any partition.
     pub fn bytes(&self) -> u64 {
         let history = self.history.lock().unwrap();
-        history.iter().map(|kept| kept.record.len() as u64).sum()
+        history
+            .iter()
+            .map(|appended| appended.record.len() as u64)
+            .sum()
     }
 
-    /// Bytes of all records of a partition.
+    /// Bytes of all records ever appended to a partition.
     pub fn bytes_of(&self, partition: StreamPartition) -> u64 {
-        let lengths = self.of_partition(partition, |kept| kept.record.len() as u64);
+        let lengths = self.map_partition(partition, |appended| appended.record.len() as u64);
         lengths.into_iter().sum()
     }
 
-    /// Offset up to which the newest checkpoint of the control stream goes.
+    /// Offset up to which the newest checkpoint covers the control stream; 0 if there is none.
     pub fn checkpoint_offset(&self) -> u64 {
         let checkpoint = self.store.checkpoint("control");
         checkpoint.map_or(0, |value| ControlCheckpoint::decode(&value).unwrap().next)
     }
 
-    /// Whether a checkpoint of that name is kept.
+    /// Whether a checkpoint of that name is appended.
     pub fn has_checkpoint(&self, name: &str) -> bool {
         self.store.checkpoint(name).is_some()
     }
 
-    /// Drops all records of a partition so far.
+    /// Drops all records that a partition holds now.
     pub fn drop_history(&self, partition: StreamPartition) {
         let end = self.records(partition).len() as u64;
         self.store.drop_before(partition, end);
     }
 
-    /// All records in the order of their appends.
+    /// All records ever appended, in the order of their appends.
     pub fn history(&self) -> Vec<(StreamPartition, Bytes)> {
         let history = self.history.lock().unwrap();
         let records = history.iter();
         records
-            .map(|kept| (kept.partition, kept.record.clone()))
+            .map(|appended| (appended.partition, appended.record.clone()))
             .collect()
     }
 
@@ -173,11 +178,11 @@
         partition: StreamPartition,
         records: Vec<Bytes>,
     ) -> Result<Appended, LogError> {
-        // Held over the append, so that both have the same order.
+        // Locked during the append, so that the history has the order of the store.
         let mut history = self.history.lock().unwrap();
         let appended = self.store.append_now(partition, records.clone())?;
         let at = Instant::now();
-        history.extend(records.into_iter().map(|record| Appending {
+        history.extend(records.into_iter().map(|record| AppendedRecord {
             partition,
             record,
             at,
@@ -197,13 +202,13 @@
             faults: Mutex::new(faults),
             listings: AtomicU64::new(0),
             reads: AtomicU64::new(0),
-            reads_let_in: AtomicU64::new(0),
+            admission_checks: AtomicU64::new(0),
             reads_of_changes: AtomicU64::new(0),
             bytes_read: AtomicU64::new(0),
         })
     }
 
-    fn refuses_next_listing(&self) -> bool {
+    fn throttles_next_listing(&self) -> bool {
         self.faults().throttles_listings
             && self
                 .listings
@@ -211,12 +216,12 @@
                 .is_multiple_of(2)
     }
 
-    /// Reading calls that the node has made of partitions.
+    /// Number of calls by which the node has read partitions.
     pub fn reads(&self) -> u64 {
         self.reads.load(Ordering::Relaxed)
     }
 
-    /// Reading calls that the node has made of changes of directories.
+    /// Number of calls by which the node has read changes of directories.
     pub fn reads_of_changes(&self) -> u64 {
         self.reads_of_changes.load(Ordering::Relaxed)
     }
@@ -245,7 +250,7 @@
     async fn check_readable(&self) -> Result<(), LogError> {
         self.check_reachable().await?;
         if self.faults().reads_hang {
-            tokio::time::sleep(NO_ANSWER).await;
+            tokio::time::sleep(NO_ANSWER_DELAY).await;
             return Err(LogError::Unknown);
         }
         if self.faults().refuses_reads {
@@ -257,14 +262,14 @@
         Ok(())
     }
 
-    /// Refuses its share of the reads, spread evenly, and leaves the first ones without an answer.
-    async fn let_read_in(&self) -> Result<(), LogError> {
-        let number = self.reads_let_in.fetch_add(1, Ordering::Relaxed);
+    /// Throttles the configured share of reads, spread evenly, and leaves the first ones without an answer.
+    async fn admit_read(&self) -> Result<(), LogError> {
+        let number = self.admission_checks.fetch_add(1, Ordering::Relaxed);
         if number < self.faults().silent_reads {
-            tokio::time::sleep(SILENCE).await;
+            tokio::time::sleep(SILENT_CONNECTION_DELAY).await;
             return Err(LogError::Unknown);
         }
-        // 3 has no common factor with 10, so ten calls in a row meet each remainder once.
+        // 3 has no common factor with 10, so ten consecutive calls yield each remainder once.
         if number * 3 % 10 < self.faults().throttled_reads_of_ten {
             return Err(LogError::Refused(429));
         }
@@ -272,16 +277,16 @@
     }
 }
 
-/// The first records, up to so many bytes and one at least; 0 stands for all.
-fn first_records(records: Vec<Bytes>, most_bytes: usize) -> Vec<Bytes> {
-    if most_bytes == 0 {
+/// The first records, up to `max_bytes` but at least one; all records if `max_bytes` is 0.
+fn first_records(records: Vec<Bytes>, max_bytes: usize) -> Vec<Bytes> {
+    if max_bytes == 0 {
         return records;
     }
     let mut bytes = 0;
     let fits = |record: &Bytes| {
         let is_first = bytes == 0;
         bytes += record.len();
-        is_first || bytes <= most_bytes
+        is_first || bytes <= max_bytes
     };
     records.into_iter().take_while(fits).collect()
 }
@@ -300,7 +305,7 @@
         }
         let is_batch = matches!(partition.stream, LogStream::Batches(_));
         if self.faults().slow_appends || (is_batch && self.faults().slow_batch_appends) {
-            tokio::time::sleep(SLOW_APPEND).await;
+            tokio::time::sleep(SLOW_APPEND_DELAY).await;
         }
         let answer_delay = match is_order(partition, &records) {
             true => self.faults().order_answer_delay,
@@ -309,7 +314,7 @@
         let appended = self.shared.append_now(partition, records)?;
         tokio::time::sleep(answer_delay).await;
         if self.faults().loses_answers {
-            tokio::time::sleep(NO_ANSWER).await;
+            tokio::time::sleep(NO_ANSWER_DELAY).await;
             return Err(LogError::Unknown);
         }
         Ok(appended)
@@ -323,13 +328,13 @@
     ) -> Result<LogPage, LogError> {
         self.reads.fetch_add(1, Ordering::Relaxed);
         self.check_readable().await?;
-        self.let_read_in().await?;
+        self.admit_read().await?;
         if self.faults().reports_kept_as_dropped {
-            tokio::time::sleep(AT_ONCE).await;
+            tokio::time::sleep(IMMEDIATE_DELAY).await;
             return Err(LogError::HistoryDropped { first: from });
         }
         let read = self.shared.store.read(partition, from, wait).await;
-        // A fault that began while the call waited takes its answer too.
+        // A fault that was set while the call waited applies to its answer too.
         self.check_readable().await?;
         let mut page = read?;
         page.records = first_records(page.records, self.faults().page_bytes);
@@ -349,7 +354,7 @@
 
     async fn load(&self, name: &str) -> Result<Option<Bytes>, LogError> {
         self.check_readable().await?;
-        self.let_read_in().await?;
+        self.admit_read().await?;
         self.shared.store.load(name).await
     }
 }
@@ -363,7 +368,7 @@
     ) -> Result<ListingPage, LogError> {
         self.check_reachable().await?;
         let is_refused = kind == DirectoryKind::Backends && self.faults().refuses_backends;
-        if is_refused || self.faults().refuses_listings || self.refuses_next_listing() {
+        if is_refused || self.faults().refuses_listings || self.throttles_next_listing() {
             return Err(LogError::Refused(429));
         }
         self.shared.store.list(kind, after).await
@@ -374,27 +379,23 @@
         kind: DirectoryKind,
         from: u64,
         wait: Duration,
-        most_bytes: u32,
+        max_bytes: u32,
     ) -> Result<DirectoryPage, LogError> {
         self.reads_of_changes.fetch_add(1, Ordering::Relaxed);
         self.check_reachable().await?;
         if kind == DirectoryKind::Backends && self.faults().refuses_backends {
-            tokio::time::sleep(AT_ONCE).await;
+            tokio::time::sleep(IMMEDIATE_DELAY).await;
             return Err(LogError::Refused(429));
         }
         if self.faults().drops_changes {
-            tokio::time::sleep(AT_ONCE).await;
+            tokio::time::sleep(IMMEDIATE_DELAY).await;
             return Err(LogError::HistoryDropped { first: from });
         }
-        let changes = self
-            .shared
-            .store
-            .changes(kind, from, wait, most_bytes)
-            .await;
+        let changes = self.shared.store.changes(kind, from, wait, max_bytes).await;
         self.check_reachable().await?;
         changes
     }
 }
 
-/// Versions of models, as back ends state them.
+/// Weight version of each model, as a back end reports them.
 pub type Versions = BTreeMap<havenstage_rollout::ids::ModelName, u64>;
--- a/crates/gateway/tests/support/log_faults.rs
+++ b/crates/gateway/tests/support/log_faults.rs
@@ -1,46 +1,46 @@
-//! What may go wrong between a node and the log.
+//! The faults that a test can set between a node and the log.
 
 use std::time::Duration;
 
-/// How the log treats one node.
+/// The faults of one node's access to the log; none by default.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LogFaults {
-    /// Calls do not reach it.
+    /// No call reaches the log.
     pub is_cut: bool,
-    /// Reads of the control stream or of batches get no answer.
+    /// Reads of partitions and checkpoints get no answer.
     pub reads_hang: bool,
-    /// Appends are done, and their answers lost.
+    /// Appends are done, but their answers are lost.
     pub loses_answers: bool,
-    /// Appends are refused; nothing is done.
+    /// Appends are refused and not done.
     pub refuses_appends: bool,
-    /// Appends that tell of ends of back ends are refused; nothing is done.
+    /// Appends that report the end of a back end are refused and not done.
     pub refuses_ends: bool,
-    /// Reads are refused at once; nothing is told.
+    /// Reads are refused at once, with status 503.
     pub refuses_reads: bool,
-    /// Reads are refused at once because too many calls are made.
+    /// Reads are refused at once as too many, with status 429.
     pub throttles_reads: bool,
-    /// Orders are written down at once, and the answer takes so long.
+    /// Delay of the answers to appends of orders; the append itself is done at once.
     pub order_answer_delay: Duration,
-    /// Appends take a while.
+    /// All appends are slow.
     pub slow_appends: bool,
-    /// Appends of batches take a while; others do not.
+    /// Only appends to batch partitions are slow.
     pub slow_batch_appends: bool,
-    /// How long answers to reads are on their way.
+    /// Delay of the answers to reads.
     pub read_delay: Duration,
-    /// Every second page of a listing is refused because too many calls are made.
+    /// Every second page of a listing is refused with status 429.
     pub throttles_listings: bool,
-    /// Pages of listings are refused, all of them.
+    /// All pages of listings are refused.
     pub refuses_listings: bool,
-    /// The directory of back ends is not given, neither its listing nor its changes.
+    /// Both the listing and the changes of the back-end directory are refused.
     pub refuses_backends: bool,
-    /// Of ten reads of partitions and checkpoints, so many are refused because too many calls are made.
+    /// Number of reads of partitions and checkpoints, of every ten, that are refused with status 429.
     pub throttled_reads_of_ten: u64,
-    /// The first so many reads of partitions get no answer, as on connections that have gone silent.
+    /// Number of reads of partitions and checkpoints, from the first, that get no answer, as on silent connections.
     pub silent_reads: u64,
-    /// Most bytes of records in the answer to a read; 0 stands for no limit.
+    /// Maximum bytes of records in the answer to a read; 0 means no limit.
     pub page_bytes: usize,
-    /// Changes of directories are told to be dropped, also those behind the listing before.
+    /// Changes of directories are reported as dropped, even those right after a listing.
     pub drops_changes: bool,
-    /// Records of partitions are told to be dropped, though the first one kept is the one asked for.
+    /// Reads of partitions are answered as if records were dropped, with the requested record as the first one kept.
     pub reports_kept_as_dropped: bool,
 }
--- a/crates/gateway/tests/support/store_contract.rs
+++ b/crates/gateway/tests/support/store_contract.rs
@@ -1,4 +1,4 @@
-//! What the gateway relies on in any store behind its traits; run against each driver.
+//! Contract tests: what the gateway requires of every store behind its traits. They run against each driver.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -11,12 +11,12 @@
 };
 use havenstage_rollout::ids::BackendName;
 
-/// Longest wait of a read here.
+/// Maximum wait of a read in these tests.
 const WAIT: Duration = Duration::from_millis(200);
 /// More bytes of changes than any of these tests writes.
 const ALL_CHANGES: u32 = 256 * 1024;
-/// Reads after which what was written must have been told.
-const MOST_READS: usize = 50;
+/// Number of reads within which everything written must have been returned.
+const MAX_READS: usize = 50;
 
 const BATCHES: StreamPartition = partition(LogStream::Batches(7), 3);
 
@@ -24,7 +24,7 @@
     StreamPartition { stream, partition }
 }
 
-/// A driver with a store of its own, of which one page of a listing holds one entry.
+/// A driver with its own store, whose listings have one entry per page.
 pub struct StoreUnderTest {
     pub log: Arc<dyn SharedLog>,
     pub checkpoints: Arc<dyn CheckpointStore>,
@@ -32,15 +32,15 @@
     pub controls: Box<dyn StoreControls>,
 }
 
-/// What others do to the store.
+/// Changes that other writers make to the store.
 pub trait StoreControls: Send + Sync {
     /// A back end writes its entry.
     fn write_backend(&self, name: &str, is_draining: bool);
 
-    /// A back end's entry is taken away.
+    /// A back end's entry is removed.
     fn remove_backend(&self, name: &str);
 
-    /// The records before an offset are past their retention.
+    /// Drops the records before an offset, as if they were past their retention.
     fn drop_before(&self, partition: StreamPartition, offset: u64);
 }
 
@@ -63,30 +63,30 @@
         (page.end, page.records)
     }
 
-    /// What changes tell of each name from an offset on, the newest last, and the offset behind them.
-    async fn changes(&self, mut from: u64, most_bytes: u32) -> (BTreeMap<String, Listed>, u64) {
-        let mut told = BTreeMap::new();
-        for _ in 0..MOST_READS {
+    /// The newest state of each name in the changes from an offset on, and the offset after them.
+    async fn changes(&self, mut from: u64, max_bytes: u32) -> (BTreeMap<String, Listed>, u64) {
+        let mut changed = BTreeMap::new();
+        for _ in 0..MAX_READS {
             let page = self
                 .directory
-                .changes(DirectoryKind::Backends, from, Duration::ZERO, most_bytes)
+                .changes(DirectoryKind::Backends, from, Duration::ZERO, max_bytes)
                 .await
                 .unwrap();
-            told.extend(page.entries.iter().map(backend));
+            changed.extend(page.entries.iter().map(backend));
             from = page.next;
             if page.remaining == 0 {
-                return (told, from);
+                return (changed, from);
             }
             assert!(!page.entries.is_empty(), "a page brings at least one entry");
         }
-        panic!("the changes never came to their end");
+        panic!("the changes did not end after {MAX_READS} reads");
     }
 
     /// All pages of a listing, and the end that the first one names.
     async fn listing(&self) -> (BTreeMap<String, Listed>, u64) {
         let mut listed = BTreeMap::new();
         let (mut after, mut first_end) = (None, None);
-        for _ in 0..MOST_READS {
+        for _ in 0..MAX_READS {
             let page = self
                 .directory
                 .list(DirectoryKind::Backends, after.as_deref())
@@ -100,7 +100,7 @@
                 return (listed, end);
             }
         }
-        panic!("the listing never came to its end");
+        panic!("the listing did not end after {MAX_READS} pages");
     }
 }
 
@@ -138,13 +138,13 @@
     assert_eq!(store.read(BATCHES, 3).await, (3, Vec::new()));
 }
 
-pub async fn a_repeated_append_stands_there_twice(store: StoreUnderTest) {
+pub async fn a_repeated_append_is_stored_twice(store: StoreUnderTest) {
     store.append(BATCHES, &["a"]).await;
     assert_eq!(store.append(BATCHES, &["a"]).await, (1, 2));
     assert_eq!(store.read(BATCHES, 0).await, (2, records(&["a", "a"])));
 }
 
-pub async fn partitions_have_offsets_of_their_own(store: StoreUnderTest) {
+pub async fn each_partition_has_its_own_offsets(store: StoreUnderTest) {
     let others = [
         partition(LogStream::Batches(7), 2),
         partition(LogStream::Batches(8), 3),
@@ -161,11 +161,11 @@
     assert_eq!(store.read(BATCHES, 0).await, (2, records(&["a", "b"])));
 }
 
-pub async fn a_waiting_reader_gets_what_comes(store: StoreUnderTest) {
+pub async fn a_waiting_reader_receives_new_records(store: StoreUnderTest) {
     store.append(BATCHES, &["a"]).await;
     let log = store.log.clone();
     let reader = tokio::spawn(async move {
-        for _ in 0..MOST_READS {
+        for _ in 0..MAX_READS {
             let page = log.read(BATCHES, 1, WAIT).await.unwrap();
             if !page.records.is_empty() {
                 return page.records;
@@ -177,14 +177,14 @@
     assert_eq!(reader.await.unwrap(), records(&["b"]));
 }
 
-pub async fn dropped_records_are_told(store: StoreUnderTest) {
+pub async fn dropped_records_are_reported(store: StoreUnderTest) {
     store.append(BATCHES, &["a", "b", "c"]).await;
     store.controls.drop_before(BATCHES, 2);
     let error = store.log.read(BATCHES, 0, Duration::ZERO).await;
     assert_eq!(
         error.unwrap_err(),
         LogError::HistoryDropped { first: 2 },
-        "a reader must not take what is left for all there was"
+        "a reader must not take the remaining records for the whole history"
     );
 }
 
@@ -211,7 +211,7 @@
     assert_eq!(listed, expected.map(|(n, s)| (n.to_owned(), s)).into());
 }
 
-/// Pages are no snapshot: what changes between two of them is found in the changes behind the first.
+/// The pages of a listing are no snapshot: what changes between two of them is in the changes after the first page.
 pub async fn listing_and_changes_together_miss_nothing(store: StoreUnderTest) {
     for name in ["i-1", "i-2", "i-3"] {
         store.controls.write_backend(name, false);
@@ -235,33 +235,33 @@
     assert_eq!(changes, expected.map(|(n, s)| (n.to_owned(), s)).into());
 }
 
-pub async fn changes_are_told_in_pages(store: StoreUnderTest) {
+pub async fn changes_are_returned_in_pages(store: StoreUnderTest) {
     let names: BTreeSet<String> = (0..9).map(|at| format!("i-{at}")).collect();
     for name in &names {
         store.controls.write_backend(name, false);
     }
-    let (told, next) = store.changes(0, 1).await;
-    assert_eq!(told.into_keys().collect::<BTreeSet<_>>(), names);
+    let (changed, next) = store.changes(0, 1).await;
+    assert_eq!(changed.into_keys().collect::<BTreeSet<_>>(), names);
     store.controls.write_backend("i-0", true);
-    let (told, _) = store.changes(next, 1).await;
-    assert_eq!(told, [("i-0".to_owned(), Listed::Draining)].into());
+    let (changed, _) = store.changes(next, 1).await;
+    assert_eq!(changed, [("i-0".to_owned(), Listed::Draining)].into());
 }
 
-/// Makes a test of each part of the contract, with a store that an expression starts.
+/// Generates a test for each part of the contract; the expression starts the store under test.
 #[macro_export]
 macro_rules! store_contract_tests {
     ($start:expr) => {
         $crate::store_contract_tests!(
             $start,
             records_are_read_back_in_order,
-            a_repeated_append_stands_there_twice,
-            partitions_have_offsets_of_their_own,
-            a_waiting_reader_gets_what_comes,
-            dropped_records_are_told,
+            a_repeated_append_is_stored_twice,
+            each_partition_has_its_own_offsets,
+            a_waiting_reader_receives_new_records,
+            dropped_records_are_reported,
             the_newest_checkpoint_of_a_name_is_kept,
             the_newest_entry_of_each_name_is_listed,
             listing_and_changes_together_miss_nothing,
-            changes_are_told_in_pages,
+            changes_are_returned_in_pages,
         );
     };
     ($start:expr, $($name:ident,)+) => {
