--- a/crates/gateway/src/batch_reads.rs
+++ b/crates/gateway/src/batch_reads.rs
@@ -198,8 +198,8 @@
             true => self.asked_at + self.wait,
             false => partition_queries::retry_deadline(self.context, self.asked_at, self.wait),
         };
-        let query = partition_queries::query(self.context, self.id, max_age, until);
-        tokio::pin!(query);
+        let pending_read = partition_queries::query(self.context, self.id, max_age, until);
+        tokio::pin!(pending_read);
         loop {
             let changed = self.partition.changed();
             tokio::pin!(changed);
@@ -210,7 +210,7 @@
             tokio::select! {
                 biased;
                 () = changed => {}
-                outcome = query.as_mut() => return outcome,
+                outcome = pending_read.as_mut() => return outcome,
             }
         }
     }
--- a/crates/gateway/src/digest_writer.rs
+++ b/crates/gateway/src/digest_writer.rs
@@ -116,7 +116,7 @@
                 Ok(page) => {
                     self.dependency.record_success();
                     next = page.next;
-                    self.apply(page.entries);
+                    self.apply_page(page.entries);
                 }
                 Err(LogError::HistoryDropped { .. }) => match self.list().await {
                     Some(end) => next = end,
@@ -161,7 +161,7 @@
         None
     }
 
-    fn apply(&mut self, entries: Vec<DirectoryEntry>) {
+    fn apply_page(&mut self, entries: Vec<DirectoryEntry>) {
         apply_entries(&mut self.directory, entries);
     }
 
@@ -265,17 +265,17 @@
 impl PoolSizes {
     fn of(&self, pool: &PoolName) -> usize {
         let for_work = self.for_work.get(pool).copied().unwrap_or(0);
-        let requested = self
+        let size = self
             .requested
             .get(pool)
-            .map_or(INITIAL_POOL_SIZE, |requested| requested.size);
-        requested.max(for_work)
+            .map_or(INITIAL_POOL_SIZE, |current| current.size);
+        size.max(for_work)
     }
 
     fn update(&mut self, context: &Context, request_counts: &BTreeMap<PoolName, u64>) {
-        for (pool, count) in request_counts {
+        for (pool, newest_count) in request_counts {
             let size = self.of(pool);
-            let requested = self
+            let current = self
                 .requested
                 .entry(pool.clone())
                 .or_insert_with(|| RequestedSize {
@@ -283,11 +283,11 @@
                     request_count: 0,
                     set_at: Instant::now() - DOUBLING_PAUSE,
                 });
-            if *count > requested.request_count && requested.set_at.elapsed() >= DOUBLING_PAUSE {
+            if *newest_count > current.request_count && current.set_at.elapsed() >= DOUBLING_PAUSE {
                 info!(event = "digest_grows", pool = pool.as_str(), from = size, to = size * 2; "");
-                *requested = RequestedSize {
+                *current = RequestedSize {
                     size: size * 2,
-                    request_count: *count,
+                    request_count: *newest_count,
                     set_at: Instant::now(),
                 };
             }
--- a/crates/gateway/src/partition_queries.rs
+++ b/crates/gateway/src/partition_queries.rs
@@ -15,8 +15,8 @@
 use crate::context::Context;
 use crate::edge::LogError;
 
-/// Time beyond the wait that a caller allows in which a read is retried. Callers time out 1.5 s after that wait; the
-/// difference is left for the way of the last answer.
+/// Time beyond the wait that a caller allows in which a read is retried. Callers time out 1.5 s after that wait; the rest
+/// is for sending the last answer.
 const RETRY_TIME: Duration = Duration::from_millis(1_300);
 /// Age of the log's last answer up to which a node expects a further answer; a node reports itself ready for the same
 /// time. A node that has lost the log refuses after one attempt, so that callers ask another node.
--- a/crates/gateway/tests/batches.rs
+++ b/crates/gateway/tests/batches.rs
@@ -147,7 +147,7 @@
 async fn item_bodies_can_be_read_until_the_batch_ends() {
     let deployment = Deployment::start(1, 1).await;
     let node = deployment.node("a").await;
-    deployment.engines[0].behave(|told| told.event_pause = Duration::from_secs(30));
+    deployment.engines[0].behave(|behaviour| behaviour.event_pause = Duration::from_secs(30));
     assert_eq!(
         submit(node.callers, "batch", &write_batch(1, &ITEMS, false)).await,
         202
@@ -184,7 +184,7 @@
     let deployment = Deployment::start(2, 1).await;
     let node = deployment.node("a").await;
     for engine in &deployment.engines {
-        engine.behave(|told| told.breaks_after = Some(1));
+        engine.behave(|behaviour| behaviour.breaks_after = Some(1));
     }
     assert_eq!(
         submit(node.callers, "batch", &write_batch(1, &ITEMS, false)).await,
@@ -200,7 +200,7 @@
     let deployment = Deployment::start(2, 1).await;
     let node = deployment.node("a").await;
     for engine in &deployment.engines {
-        engine.behave(|told| told.breaks_after = Some(support::backend::EVENTS));
+        engine.behave(|behaviour| behaviour.breaks_after = Some(support::backend::EVENTS));
     }
     assert_eq!(
         submit(node.callers, "batch", &write_batch(1, &ITEMS, false)).await,
@@ -221,7 +221,7 @@
 async fn an_engine_with_outdated_weights_runs_no_items() {
     let deployment = Deployment::start(2, 1).await;
     let node = deployment.node("a").await;
-    deployment.engines[1].behave(|told| told.version = 2);
+    deployment.engines[1].behave(|behaviour| behaviour.version = 2);
     assert_eq!(
         submit(node.callers, "batch", &write_batch(2, &ITEMS, false)).await,
         202
@@ -240,7 +240,7 @@
 
 async fn start_batch_with_output(deployment: &Deployment, node: &TestNode) {
     for engine in &deployment.engines {
-        engine.behave(|told| told.event_pause = Duration::from_millis(150));
+        engine.behave(|behaviour| behaviour.event_pause = Duration::from_millis(150));
     }
     assert_eq!(
         submit(node.callers, "batch", &write_batch(1, &ITEMS, false)).await,
@@ -258,7 +258,7 @@
 async fn change_version_during_output(path: &str) -> Vec<String> {
     let deployment = Deployment::start(1, 1).await;
     let node = deployment.node("a").await;
-    deployment.engines[0].behave(|told| told.event_pause = Duration::from_millis(80));
+    deployment.engines[0].behave(|behaviour| behaviour.event_pause = Duration::from_millis(80));
     assert_eq!(
         submit_to(node.callers, path, "batch", &write_batch(1, &ITEMS, false)).await,
         202
@@ -270,7 +270,7 @@
         batch.is_some_and(|batch| batch.items.iter().all(|item| !item.events.is_empty()))
     })
     .await;
-    deployment.engines[0].behave(|told| told.version = 2);
+    deployment.engines[0].behave(|behaviour| behaviour.version = 2);
     let lines = wait_for_results(node.callers, "batch", ITEMS.len()).await;
     assert_all_complete(&lines);
     lines
@@ -362,7 +362,7 @@
     let deployment = Deployment::start(1, 1).await;
     let node = deployment.node("a").await;
     let application = &deployment.applications[0];
-    application.behave(|told| told.call = CallBehaviour::OutOfTime);
+    application.behave(|behaviour| behaviour.call = CallBehaviour::OutOfTime);
     let batch = write_batch(1, &[("item", "g")], true);
     assert_eq!(submit(node.callers, "batch", &batch).await, 202);
     wait_until(
@@ -370,7 +370,7 @@
         || application.seen().len() > 6,
     )
     .await;
-    application.behave(|told| told.call = CallBehaviour::Answer);
+    application.behave(|behaviour| behaviour.call = CallBehaviour::Answer);
     let results = wait_for_results(node.callers, "batch", 1).await;
     assert!(!results[0].contains("given up"), "{results:?}");
 }
--- a/crates/gateway/tests/ended_batches.rs
+++ b/crates/gateway/tests/ended_batches.rs
@@ -98,7 +98,7 @@
 }
 
 async fn submit_many_items(deployment: &Deployment, owner: &TestNode, has_reward: bool) {
-    deployment.engines[0].behave(|told| told.event_pause = Duration::from_millis(400));
+    deployment.engines[0].behave(|behaviour| behaviour.event_pause = Duration::from_millis(400));
     let names: Vec<String> = (0..MANY_ITEMS).map(|at| format!("i{at}")).collect();
     let items: Vec<(&str, &str)> = names.iter().map(|name| (name.as_str(), "g")).collect();
     let body = write_batch(1, &items, has_reward);
@@ -109,9 +109,9 @@
 /// Observes the engine and returns how long after the end late items arrived, in milliseconds.
 async fn late_items(deployment: &Deployment, ended: Instant, in_force: Duration) -> Vec<u128> {
     havenstage_clock::sleep_until(ended + in_force).await;
-    let begun = deployment.engines[0].runs().len();
+    let started_runs = deployment.engines[0].runs().len();
     assert!(
-        begun < MANY_ITEMS,
+        started_runs < MANY_ITEMS,
         "items still wait when the end is in force"
     );
     tokio::time::sleep(OBSERVATION_TIME).await;
@@ -168,7 +168,7 @@
     let (owner, other) = (deployment.node("a").await, deployment.node("b").await);
     let application = &deployment.applications[0];
     // The reward call is retried again and again.
-    application.behave(|told| told.call = CallBehaviour::OutOfTime);
+    application.behave(|behaviour| behaviour.call = CallBehaviour::OutOfTime);
     let body = write_batch(1, &[("item", "g")], true);
     assert_eq!(submit(owner.callers, "batch", &body).await, 202);
     wait_until("the reward call was repeated", || {
@@ -206,11 +206,11 @@
         ..LogFaults::default()
     });
     tokio::time::sleep(end_in_force_delay(&owner)).await;
-    let begun = deployment.engines[0].runs().len();
-    assert!(begun < MANY_ITEMS, "items still wait");
+    let started_runs = deployment.engines[0].runs().len();
+    assert!(started_runs < MANY_ITEMS, "items still wait");
     tokio::time::sleep(OBSERVATION_TIME).await;
-    assert_eq!(deployment.engines[0].runs().len(), begun);
-    deployment.engines[0].behave(|told| told.event_pause = Duration::from_millis(5));
+    assert_eq!(deployment.engines[0].runs().len(), started_runs);
+    deployment.engines[0].behave(|behaviour| behaviour.event_pause = Duration::from_millis(5));
     owner.set_faults(LogFaults::default());
     let lines = wait_for_results(owner.callers, "batch", MANY_ITEMS).await;
     assert!(
@@ -226,9 +226,9 @@
 async fn a_call_for_an_ended_batch_is_not_retried() {
     let deployment = Deployment::start(1, 2).await;
     let node = deployment.node("a").await;
-    deployment.engines[0].behave(|told| told.event_pause = LONGER_THAN_TEST);
+    deployment.engines[0].behave(|behaviour| behaviour.event_pause = LONGER_THAN_TEST);
     for application in &deployment.applications {
-        application.behave(|told| told.call = CallBehaviour::Silent);
+        application.behave(|behaviour| behaviour.call = CallBehaviour::Silent);
     }
     let body = write_batch(1, &[("item", "g")], false);
     assert_eq!(submit(node.callers, "batch", &body).await, 202);
--- a/crates/gateway/tests/following.rs
+++ b/crates/gateway/tests/following.rs
@@ -95,7 +95,7 @@
     let mut owner = deployment.node("owner").await;
     let other = deployment.node("other").await;
     for engine in &deployment.engines {
-        engine.behave(|told| told.event_pause = Duration::from_millis(150));
+        engine.behave(|behaviour| behaviour.event_pause = Duration::from_millis(150));
     }
     let body = write_batch(1, &ITEMS, false);
     assert_eq!(submit(owner.callers, "batch", &body).await, 202);
@@ -139,8 +139,8 @@
     let node = deployment.node("node").await;
     let context = node.context().clone();
     let view = context.partition_of(&"batch".into());
-    let ask = || view.confirm(log.as_ref(), context.clock, Duration::ZERO);
-    let answers = futures::future::join_all((0..CONCURRENT_CALLERS).map(|_| ask())).await;
+    let read_to_end = || view.confirm(log.as_ref(), context.clock, Duration::ZERO);
+    let answers = futures::future::join_all((0..CONCURRENT_CALLERS).map(|_| read_to_end())).await;
     assert!(answers.iter().all(Result::is_ok));
     assert!(log.reads() <= 2, "{} reads", log.reads());
 }
@@ -191,8 +191,8 @@
     let context = node.context().clone();
     let view = context.partition_of(&"batch".into());
     let until = havenstage_clock::Instant::now() + RETRY_TIME;
-    let ask = || view.confirm_until(log.as_ref(), context.clock, Duration::ZERO, until);
-    let answers = futures::future::join_all((0..CONCURRENT_CALLERS).map(|_| ask())).await;
+    let read_to_end = || view.confirm_until(log.as_ref(), context.clock, Duration::ZERO, until);
+    let answers = futures::future::join_all((0..CONCURRENT_CALLERS).map(|_| read_to_end())).await;
     assert!(answers.iter().all(Result::is_err));
     assert!(havenstage_clock::Instant::now() < until + RETRY_TIME / 2);
     assert!((2..=20).contains(&log.reads()), "{} reads", log.reads());
--- a/crates/gateway/tests/intake.rs
+++ b/crates/gateway/tests/intake.rs
@@ -41,21 +41,21 @@
     let node = deployment.node("a").await;
     assert_eq!(call(node.callers, "call", "/calls/path").await.status, 200);
     wait_until("it is ready", || is_ready(node.context())).await;
-    let mut taken = Vec::new();
+    let mut open_files = Vec::new();
     let mut waiting = Vec::new();
     // Repeated, since connections that were open before may close in the meantime and free descriptors.
     for _ in 0..20 {
         while let Ok(file) = File::open("/dev/null") {
-            taken.push(file);
+            open_files.push(file);
         }
         // The caller's side of a connection gets the last descriptor, so the node's side gets none.
-        taken.pop();
+        open_files.pop();
         // This fails if the node takes the descriptor first; the next round tries again.
         waiting.extend(TcpStream::connect(node.callers).await.ok());
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
     wait_until("it is not ready", || !is_ready(node.context())).await;
-    drop(taken);
+    drop(open_files);
     wait_until("it is ready again", || is_ready(node.context())).await;
     drop(waiting);
     assert_eq!(call(node.callers, "call", "/calls/path").await.status, 200);
--- a/crates/gateway/tests/missed_records.rs
+++ b/crates/gateway/tests/missed_records.rs
@@ -94,8 +94,11 @@
         // The node follows the partition while it is asked about the batch.
         results(node.callers, "batch", 0).await;
         let is_open = is_open_in_index(owner);
-        let left = until.saturating_duration_since(Instant::now());
-        assert!(is_open, "closed {left:?} before its items may be given up");
+        let remaining = until.saturating_duration_since(Instant::now());
+        assert!(
+            is_open,
+            "closed {remaining:?} before its items may be given up"
+        );
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
 }
--- a/crates/gateway/tests/reading_after_restart.rs
+++ b/crates/gateway/tests/reading_after_restart.rs
@@ -105,9 +105,12 @@
     let wait = wait_ms.unwrap_or(0).to_string();
     let headers = [("x-wait", wait.as_str())];
     let headers = if wait_ms.is_some() { &headers[..] } else { &[] };
-    let timeout = CALLER_TIMEOUT + Duration::from_millis(wait_ms.unwrap_or(0));
+    let caller_timeout = CALLER_TIMEOUT + Duration::from_millis(wait_ms.unwrap_or(0));
     let answer = send(address, Method::GET, &path, headers, "");
-    let answer = tokio::time::timeout(timeout, answer).await.ok()?.ok()?;
+    let answer = tokio::time::timeout(caller_timeout, answer)
+        .await
+        .ok()?
+        .ok()?;
     let is_read = answer.status == 200;
     is_read.then(|| text(&answer).lines().skip(1).map(str::to_owned).collect())
 }
@@ -197,7 +200,7 @@
 
 fn slow_down(engines: &[Arc<StandInBackend>]) {
     for engine in engines {
-        engine.behave(|told| told.event_pause = Duration::from_millis(30));
+        engine.behave(|behaviour| behaviour.event_pause = Duration::from_millis(30));
     }
 }
 
@@ -250,7 +253,7 @@
 #[tokio::test]
 async fn an_ended_batch_without_results_is_read_after_a_restart() {
     let deployment = Deployment::start(1, 1).await;
-    deployment.engines[0].behave(|told| told.event_pause = Duration::from_secs(30));
+    deployment.engines[0].behave(|behaviour| behaviour.event_pause = Duration::from_secs(30));
     let mut node = deployment.node("first").await;
     assert_eq!(submit(node.callers, "batch", &body("batch")).await, 202);
     assert_eq!(end(node.callers, "batch").await, 200);
@@ -271,7 +274,7 @@
 #[tokio::test]
 async fn bodies_are_read_after_a_restart_while_the_log_refuses_half_of_the_reads() {
     let deployment = Deployment::start(1, 1).await;
-    deployment.engines[0].behave(|told| told.event_pause = Duration::from_secs(30));
+    deployment.engines[0].behave(|behaviour| behaviour.event_pause = Duration::from_secs(30));
     let mut node = deployment.node("first").await;
     assert_eq!(submit(node.callers, "batch", &body("batch")).await, 202);
     let partition = node.context().partition_of(&"batch".into()).id;
@@ -283,14 +286,14 @@
     };
     let nodes = start_nodes(&deployment, faults, "second").await;
     let until = Instant::now() + TIME_TO_READ;
-    let mut asked = 0;
+    let mut attempts = 0;
     let found = loop {
         assert!(
             Instant::now() < until,
-            "no body was received in {asked} calls"
+            "no body was received in {attempts} calls"
         );
-        let address = nodes[asked % NODES].callers;
-        asked += 1;
+        let address = nodes[attempts % NODES].callers;
+        attempts += 1;
         let path = "/results/batch?item=item-3-of-batch";
         let answer = send(address, Method::GET, path, &[], "");
         let answer = tokio::time::timeout(CALLER_TIMEOUT, answer).await;
@@ -372,7 +375,7 @@
     tokio::time::sleep(PAST_RETENTION).await;
     assert_eq!(page(other.callers, "batch", 0, None).await, nothing);
     assert_eq!(page(owner.callers, "batch", 0, None).await, nothing);
-    deployment.engines[0].behave(|told| told.version = 2);
+    deployment.engines[0].behave(|behaviour| behaviour.version = 2);
     owner
         .context()
         .backends
--- a/crates/gateway/tests/restart.rs
+++ b/crates/gateway/tests/restart.rs
@@ -52,7 +52,7 @@
 
 fn slow_down(deployment: &Deployment) {
     for engine in &deployment.engines {
-        engine.behave(|told| told.event_pause = Duration::from_millis(400));
+        engine.behave(|behaviour| behaviour.event_pause = Duration::from_millis(400));
     }
 }
 
--- a/crates/gateway/tests/slow_readers.rs
+++ b/crates/gateway/tests/slow_readers.rs
@@ -28,7 +28,7 @@
     let node = TestNode::start_with_settings(NodeLog::new(&deployment.log), settings).await;
     node.wait_until_known(deployment.engines.len()).await;
     for engine in &deployment.engines {
-        engine.behave(|told| told.event_padding = EVENT_PADDING_BYTES);
+        engine.behave(|behaviour| behaviour.event_padding = EVENT_PADDING_BYTES);
     }
     let items: Vec<String> = (0..ITEMS).map(|at| format!("i{at}")).collect();
     let items: Vec<(&str, &str)> = items.iter().map(|item| (item.as_str(), "g")).collect();
--- a/crates/gateway/tests/support/log.rs
+++ b/crates/gateway/tests/support/log.rs
@@ -64,12 +64,12 @@
 fn contains_control_record(
     partition: StreamPartition,
     records: &[Bytes],
-    matches: impl Fn(&ControlRecord) -> bool,
+    predicate: impl Fn(&ControlRecord) -> bool,
 ) -> bool {
     let mut joiner = Joiner::default();
     let values = records.iter().filter_map(|r| joiner.push(r.clone()));
     let mut values = values.filter_map(|value| ControlRecord::decode(&value).ok());
-    partition.stream == LogStream::Control && values.any(|record| matches(&record))
+    partition.stream == LogStream::Control && values.any(|record| predicate(&record))
 }
 
 /// One node's access to the log, with its faults and counts.
@@ -114,13 +114,13 @@
     fn map_partition<T>(
         &self,
         partition: StreamPartition,
-        map: impl Fn(&AppendedRecord) -> T,
+        project: impl Fn(&AppendedRecord) -> T,
     ) -> Vec<T> {
         let history = self.history.lock().unwrap();
         let records = history
             .iter()
             .filter(|appended| appended.partition == partition);
-        records.map(map).collect()
+        records.map(project).collect()
     }
 
     pub fn records(&self, partition: StreamPartition) -> Vec<Bytes> {
@@ -153,7 +153,7 @@
         checkpoint.map_or(0, |value| ControlCheckpoint::decode(&value).unwrap().next)
     }
 
-    /// Whether a checkpoint of that name is appended.
+    /// Whether the store holds a checkpoint of that name.
     pub fn has_checkpoint(&self, name: &str) -> bool {
         self.store.checkpoint(name).is_some()
     }
