--- a/crates/gateway/src/digest_reader.rs
+++ b/crates/gateway/src/digest_reader.rs
@@ -75,7 +75,7 @@
         return;
     }
     context.backends.replace(all, context.now());
-    context.backends.set_listed_whole(false);
+    context.backends.set_fully_listed(false);
     context.mark_backends_listed();
     context.control_changed.notify_one();
 }
--- a/crates/gateway/src/followers.rs
+++ b/crates/gateway/src/followers.rs
@@ -89,7 +89,7 @@
 ) {
     while view.is_behind(context.now()) {
         // The semaphore is never closed.
-        let Ok(permit) = context.catch_up.acquire().await else {
+        let Ok(permit) = context.catch_up_permits.acquire().await else {
             return;
         };
         let log = context.log.as_ref();
