--- a/crates/gateway/src/calls.rs
+++ b/crates/gateway/src/calls.rs
@@ -91,7 +91,8 @@
         /// HTTP status for the caller: 502 after failed sends, 504 after the deadline.
         status: StatusCode,
     },
-    /// Back ends crash while they run the call, so it is not sent any more. An earlier send of it may have run, so this outcome does not mean that the call has not run.
+    /// Back ends crash while they run the call, so it is not sent any more. An earlier send of it may have run, so
+    /// this outcome does not mean that the call has not run.
     Barred,
 }
 
--- a/crates/gateway/tests/reward_limiter.rs
+++ b/crates/gateway/tests/reward_limiter.rs
@@ -133,7 +133,7 @@
     config
 }
 
-/// Many reward calls wait for a pool whose application is slow; reward calls to another pool must not be delayed by them.
+/// Many reward calls wait for a pool whose application is slow. They must not delay reward calls to another pool.
 /// With one queue for all pools the calls to the fast pool take 14.2 s (one run), with one queue for each pool 0.3
 /// to 0.4 s (three runs).
 #[tokio::test]
