--- a/crates/gateway/src/coordinator/lease.rs
+++ b/crates/gateway/src/coordinator/lease.rs
@@ -13,7 +13,7 @@
 use crate::claim_timing::claim_timing;
 use crate::edge::Appended;
 use crate::lease_grant::LeaseGrant;
-use crate::log_writes::{append_control, append_sign_of_life};
+use crate::log_writes::{append_control, append_heartbeat};
 
 /// Share of the silence timeout, after which other nodes claim the lease, for which the holder relies on its
 /// lease after a heartbeat.
@@ -110,7 +110,7 @@
             holder,
             after_ms: since_last.unwrap_or_default().as_millis() as Millis,
         };
-        let appended = append_sign_of_life(&self.context, &record).await.ok();
+        let appended = append_heartbeat(&self.context, &record).await.ok();
         let heartbeat_logged_at = appended.map(|_| AwakeInstant::now());
         let is_current = match appended {
             Some(appended) => self.is_renewed_by(appended, lease.term).await,
--- a/crates/gateway/src/peers/answers.rs
+++ b/crates/gateway/src/peers/answers.rs
@@ -12,7 +12,7 @@
 
 use crate::batch_answer::BatchAnswer;
 use crate::context::Context;
-use crate::{batch_ends, batch_reads, questions};
+use crate::{batch_ends, batch_reads, partition_queries};
 
 /// Time for reading a batch from the log that this node owns but has not read yet.
 const LOAD_TIMEOUT: Duration = Duration::from_millis(500);
@@ -32,7 +32,7 @@
         return Err(PeerRefusal::OtherLife);
     }
     // Without the log, this node cannot confirm an answer, and the asking node may still reach the log.
-    if !questions::is_in_touch(context) {
+    if !partition_queries::is_log_reachable(context) {
         return Err(PeerRefusal::NotConfirmed);
     }
     ensure_known(context, batch).await?;
@@ -59,7 +59,7 @@
         return Err(PeerRefusal::NotHere);
     }
     let until = Instant::now() + LOAD_TIMEOUT;
-    let asked = questions::ask(context, batch, Duration::ZERO, until).await;
+    let asked = partition_queries::query(context, batch, Duration::ZERO, until).await;
     asked.map_err(|_| PeerRefusal::NotConfirmed)?;
     match context.holds(batch) {
         true => Ok(()),
