--- a/crates/gateway/src/engine/paused_starts.rs
+++ b/crates/gateway/src/engine/paused_starts.rs
@@ -22,7 +22,7 @@
     /// in the partition, and its end.
     pub(super) fn are_starts_paused(&mut self, partition: usize, now: Millis) -> bool {
         let view = self.context.partitions.at(partition);
-        if self.context.may_start_work(view) {
+        if self.context.can_start_work(view) {
             self.resume_starts(partition, now);
             return false;
         }
