--- a/crates/gateway/src/backends.rs
+++ b/crates/gateway/src/backends.rs
@@ -354,7 +354,7 @@
         let settings = LinkSettings {
             connect_timeout: CONNECT_TIMEOUT,
             keep_idle: MAX_IDLE_TIME,
-            most_idle: MAX_IDLE_CONNECTIONS,
+            max_idle_connections: MAX_IDLE_CONNECTIONS,
         };
         self.links
             .entry(id.clone())
--- a/crates/gateway/src/engine/run.rs
+++ b/crates/gateway/src/engine/run.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use havenstage_clock::Instant;
-use havenstage_http_link::{Answer, LinkError, Sending};
+use havenstage_http_link::{Answer, LinkError, SendOptions};
 use havenstage_rollout::back_end_speed::StreamGaps;
 use havenstage_rollout::batch::Item;
 use havenstage_rollout::event_stream::EventReader;
@@ -219,10 +219,10 @@
     let Some(request) = item_request(context, &backend.id, parameters) else {
         return RunEnd::Impossible;
     };
-    let sending = Sending::within(HEAD_TIMEOUT)
-        .written_by(parameters.write_deadline)
-        .patient_for(send::HEAD_SILENCE_TIMEOUT)
-        .ended_when_silent();
+    let sending = SendOptions::within(HEAD_TIMEOUT)
+        .write_deadline(parameters.write_deadline)
+        .min_silence_timeout(send::HEAD_SILENCE_TIMEOUT)
+        .abort_when_silent();
     let answer = match backend.link.send_as(request.clone(), sending).await {
         // The silent connection was closed with a reset, which cancels a run that may have begun. The other
         // connections to the back end are closed too, so the second attempt uses a new one.
--- a/crates/gateway/src/order_exchange.rs
+++ b/crates/gateway/src/order_exchange.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use havenstage_http_link::{LinkError, Sending, WholeAnswer};
+use havenstage_http_link::{LinkError, SendOptions, WholeAnswer};
 use havenstage_rollout::ids::BackendId;
 use http::{HeaderValue, Request, StatusCode};
 use http_body_util::Full;
@@ -23,7 +23,7 @@
     backend: &BackendId,
 ) -> Option<BackendReport> {
     let request = context.dialect.report_request();
-    let sending = Sending::within(REPORT_TIMEOUT);
+    let sending = SendOptions::within(REPORT_TIMEOUT);
     let answer = exchange(context, backend, request, sending, REPORT_TIMEOUT).await;
     // The callers treat all reasons for a missing report alike.
     let answer = answer.ok()?;
@@ -47,7 +47,7 @@
     context: &Arc<Context>,
     backend: &BackendId,
     mut request: Request<Full<Bytes>>,
-    sending: Sending,
+    sending: SendOptions,
     timeout: Duration,
 ) -> Result<WholeAnswer, LinkError> {
     let chosen = context.backends.take(backend).ok_or(LinkError::NotSent)?;
--- a/crates/gateway/src/order_run.rs
+++ b/crates/gateway/src/order_run.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use havenstage_clock::Instant;
-use havenstage_http_link::{LinkError, Sending};
+use havenstage_http_link::{LinkError, SendOptions};
 use havenstage_rollout::control_record::ControlRecord;
 use havenstage_rollout::ids::{BackendId, ModelName, Version};
 use http::StatusCode;
@@ -236,7 +236,7 @@
     let write_by = limits
         .send_by
         .min(began + Duration::from_millis(validity_ms));
-    let sending = Sending::within(time_left).written_by(write_by);
+    let sending = SendOptions::within(time_left).write_deadline(write_by);
     let answer = match is_lease_valid && !time_left.is_zero() {
         true => exchange(context, &order.backend, request, sending, time_left).await,
         false => Err(LinkError::TooLate),
--- a/crates/gateway/src/peers/client.rs
+++ b/crates/gateway/src/peers/client.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use havenstage_clock::Instant;
-use havenstage_http_link::{Link, LinkError, LinkSettings, Sending};
+use havenstage_http_link::{Link, LinkError, LinkSettings, SendOptions};
 use havenstage_rollout::Millis;
 use havenstage_rollout::ids::NodeId;
 use havenstage_rollout::peer_message::{PeerAnswer, PeerRequest};
@@ -100,7 +100,7 @@
             LinkSettings {
                 connect_timeout: CONNECT_TIMEOUT,
                 keep_idle: IDLE_TIMEOUT,
-                most_idle: MAX_IDLE,
+                max_idle_connections: MAX_IDLE,
             },
         );
         let peer = KnownPeer {
@@ -129,7 +129,7 @@
     until: Instant,
 ) -> Result<PeerAnswer, PeerError> {
     let left = until.saturating_duration_since(Instant::now());
-    let sending = Sending::within(HEAD_TIMEOUT.min(left));
+    let sending = SendOptions::within(HEAD_TIMEOUT.min(left));
     let answer = link.send_as(http_request(link, request), sending).await?;
     let whole = answer.whole(max_bytes + ENVELOPE_BYTES);
     let whole = havenstage_clock::timeout_at(until, whole).await;
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use havenstage_clock::Instant;
-use havenstage_http_link::{Answer, Link, LinkError, Sending};
+use havenstage_http_link::{Answer, Link, LinkError, SendOptions};
 use havenstage_rollout::event_stream::EventReader;
 use havenstage_rollout::ids::{BackendId, PoolName};
 use havenstage_rollout::residency::Residency;
@@ -212,10 +212,11 @@
             let headers = request.headers_mut();
             headers.insert(names.last_event_id.clone(), HeaderValue::from(last_event));
         }
-        let mut sending = Sending::within(SILENCE_TIMEOUT.min(left));
+        let mut sending = SendOptions::within(SILENCE_TIMEOUT.min(left));
         if self.had_silent_send {
             let now = Instant::now();
-            sending = sending.over_one_heard_since(now.checked_sub(SILENCE_TIMEOUT).unwrap_or(now));
+            sending = sending
+                .over_connection_active_since(now.checked_sub(SILENCE_TIMEOUT).unwrap_or(now));
         }
         let answer = match backend.link.send_as(request, sending).await {
             Ok(answer) => answer,
--- a/crates/gateway/src/send.rs
+++ b/crates/gateway/src/send.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use havenstage_clock::Instant;
-use havenstage_http_link::{Answer, Link, LinkError, Sending, WholeAnswer};
+use havenstage_http_link::{Answer, Link, LinkError, SendOptions, WholeAnswer};
 use havenstage_rollout::ids::BackendId;
 use http::Request;
 use http::header::{self, HeaderMap, HeaderName, HeaderValue};
@@ -46,15 +46,15 @@
 }
 
 impl SendTerms {
-    fn sending(&self, left: Duration) -> Sending {
-        let mut sending = Sending::within(left);
+    fn sending(&self, left: Duration) -> SendOptions {
+        let mut sending = SendOptions::within(left);
         if let Some(moment) = self.unanswered_since {
-            sending = sending.over_one_heard_since(moment);
+            sending = sending.over_connection_active_since(moment);
         }
         if self.gives_up_on_silence {
             sending = sending
-                .patient_for(HEAD_SILENCE_TIMEOUT)
-                .ended_when_silent();
+                .min_silence_timeout(HEAD_SILENCE_TIMEOUT)
+                .abort_when_silent();
         }
         sending
     }
@@ -99,7 +99,7 @@
     let request = backend_request(context, &chosen, call, left);
     let answer = match call.write_by(context, terms.deadline) {
         Some(write_by) => {
-            let sending = terms.sending(left).written_by(write_by);
+            let sending = terms.sending(left).write_deadline(write_by);
             chosen.link.send_as(request, sending).await
         }
         None => Err(LinkError::TooLate),
--- a/crates/gateway/tests/support/caller.rs
+++ b/crates/gateway/tests/support/caller.rs
@@ -19,7 +19,7 @@
         LinkSettings {
             connect_timeout: TIMEOUT,
             keep_idle: TIMEOUT,
-            most_idle: 0,
+            max_idle_connections: 0,
         },
     )
 }
--- a/crates/gateway/tests/support/peers.rs
+++ b/crates/gateway/tests/support/peers.rs
@@ -82,7 +82,7 @@
         LinkSettings {
             connect_timeout: TIMEOUT,
             keep_idle: TIMEOUT,
-            most_idle: 0,
+            max_idle_connections: 0,
         },
     );
     let request = Request::builder()
--- a/crates/http-link/src/lib.rs
+++ b/crates/http-link/src/lib.rs
@@ -7,7 +7,7 @@
 mod error;
 mod link;
 mod probe;
-mod sending;
+mod send_options;
 mod silence;
 
 pub use answer::{Answer, WholeAnswer};
@@ -15,4 +15,4 @@
 pub use error::LinkError;
 pub use link::{Link, LinkSettings, LinkTraffic};
 pub use probe::{OpenProbe, Probe};
-pub use sending::Sending;
+pub use send_options::SendOptions;
--- a/crates/http-link/src/link.rs
+++ b/crates/http-link/src/link.rs
@@ -17,7 +17,7 @@
 use crate::connection::Connection;
 use crate::error::LinkError;
 use crate::probe::{OpenProbe, Probe};
-use crate::sending::Sending;
+use crate::send_options::SendOptions;
 use crate::silence::{Awaited, Silence};
 
 /// Limits of a [`Link`].
@@ -28,7 +28,7 @@
     /// Longest time a connection rests before it is not used again.
     pub keep_idle: Duration,
     /// Most resting connections.
-    pub most_idle: usize,
+    pub max_idle_connections: usize,
 }
 
 /// What a link has done since it was made.
@@ -94,7 +94,7 @@
         request: Request<Full<Bytes>>,
         timeout: Duration,
     ) -> Result<Answer, LinkError> {
-        self.send_as(request, Sending::within(timeout)).await
+        self.send_as(request, SendOptions::within(timeout)).await
     }
 
     /// The same, where nothing of the request may be written after `write_by`: the process may have
@@ -105,7 +105,7 @@
         write_by: Instant,
         timeout: Duration,
     ) -> Result<Answer, LinkError> {
-        let sending = Sending::within(timeout).written_by(write_by);
+        let sending = SendOptions::within(timeout).write_deadline(write_by);
         self.send_as(request, sending).await
     }
 
@@ -113,7 +113,7 @@
     pub async fn send_as(
         &self,
         mut request: Request<Full<Bytes>>,
-        sending: Sending,
+        sending: SendOptions,
     ) -> Result<Answer, LinkError> {
         let deadline = Instant::now() + sending.timeout;
         loop {
@@ -130,7 +130,7 @@
         &self,
         request: Request<Full<Bytes>>,
         kept: Option<Connection>,
-        sending: &Sending,
+        sending: &SendOptions,
         deadline: Instant,
     ) -> Sent {
         let is_kept = kept.is_some();
@@ -276,7 +276,7 @@
         idle.retain(|kept| kept.idle_since.elapsed() < kept.keep_for);
         idle.push(connection);
         // The one that has rested longest is the least certain to work.
-        if idle.len() > self.settings.most_idle {
+        if idle.len() > self.settings.max_idle_connections {
             idle.remove(0);
         }
     }
--- a/crates/http-link/src/sending.rs
+++ b/crates/http-link/src/send_options.rs
@@ -8,7 +8,7 @@
 
 /// How a request is to be sent.
 #[derive(Debug, Clone, Copy)]
-pub struct Sending {
+pub struct SendOptions {
     pub(crate) timeout: Duration,
     pub(crate) write_by: Option<Instant>,
     pub(crate) answer_after: Duration,
@@ -17,7 +17,7 @@
     pub(crate) least_patience: Duration,
 }
 
-impl Sending {
+impl SendOptions {
     /// The head of the answer must come within a time.
     pub fn within(timeout: Duration) -> Self {
         Self {
@@ -31,20 +31,20 @@
     }
 
     /// Nothing of the request may be written after a moment.
-    pub fn written_by(mut self, moment: Instant) -> Self {
+    pub fn write_deadline(mut self, moment: Instant) -> Self {
         self.write_by = Some(moment);
         self
     }
 
     /// The server is asked to wait so long before it answers; its silence until then says nothing.
-    pub fn answered_after(mut self, wait: Duration) -> Self {
+    pub fn expect_answer_after(mut self, wait: Duration) -> Self {
         self.answer_after = wait;
         self
     }
 
     /// A kept connection is used only if it was heard from since a moment: something that was sent then
     /// has no answer, and a connection that rested since may have fallen silent with it.
-    pub fn over_one_heard_since(mut self, moment: Instant) -> Self {
+    pub fn over_connection_active_since(mut self, moment: Instant) -> Self {
         self.heard_since = Some(moment);
         self
     }
@@ -52,13 +52,13 @@
     /// The exchange ends with [`LinkError::Silent`](crate::LinkError::Silent) as soon as its connection
     /// is seen to be silent. Without this its answer is awaited to the end of its time: right for a request
     /// that may run once only.
-    pub fn ended_when_silent(mut self) -> Self {
+    pub fn abort_when_silent(mut self) -> Self {
         self.ends_when_silent = true;
         self
     }
 
     /// A kept connection counts as silent only after so long, where sending again is dear.
-    pub fn patient_for(mut self, least: Duration) -> Self {
+    pub fn min_silence_timeout(mut self, least: Duration) -> Self {
         self.least_patience = least;
         self
     }
--- a/crates/http-link/tests/abandoned.rs
+++ b/crates/http-link/tests/abandoned.rs
@@ -14,7 +14,7 @@
     LinkSettings {
         connect_timeout: Duration::from_secs(5),
         keep_idle: Duration::from_secs(5),
-        most_idle: 4,
+        max_idle_connections: 4,
     }
 }
 
--- a/crates/http-link/tests/late.rs
+++ b/crates/http-link/tests/late.rs
@@ -19,7 +19,7 @@
     let settings = LinkSettings {
         connect_timeout: PATIENCE,
         keep_idle: PATIENCE,
-        most_idle: 4,
+        max_idle_connections: 4,
     };
     let link = Link::new(listener.local_addr().unwrap(), settings);
     let server = tokio::spawn(async move {
--- a/crates/http-link/tests/patience.rs
+++ b/crates/http-link/tests/patience.rs
@@ -10,7 +10,7 @@
 
 use bytes::Bytes;
 use futures::future::join_all;
-use havenstage_http_link::{Answer, Link, LinkError, LinkSettings, Sending};
+use havenstage_http_link::{Answer, Link, LinkError, LinkSettings, SendOptions};
 use http::{Request, Response};
 use http_body_util::Full;
 use hyper::server::conn::http1;
@@ -60,18 +60,18 @@
     let settings = LinkSettings {
         connect_timeout: TIMEOUT,
         keep_idle: Duration::from_secs(60),
-        most_idle: 16,
+        max_idle_connections: 16,
     };
     let link = Link::new(start_server().await, settings);
     let opened = join_all((0..2).map(|_| link.send(request("/"), TIMEOUT))).await;
     for answer in opened {
         answer.unwrap().whole(1024).await.unwrap();
     }
-    let patient = Sending::within(TIMEOUT)
-        .patient_for(PATIENCE)
-        .ended_when_silent();
+    let patient = SendOptions::within(TIMEOUT)
+        .min_silence_timeout(PATIENCE)
+        .abort_when_silent();
     let ordinary = async {
-        let sending = Sending::within(TIMEOUT);
+        let sending = SendOptions::within(TIMEOUT);
         let answer = link.send_as(request(ordinary_path), sending).await;
         answer.unwrap().whole(1024).await.unwrap();
     };
--- a/crates/http-link/tests/silence.rs
+++ b/crates/http-link/tests/silence.rs
@@ -15,7 +15,7 @@
 use bytes::Bytes;
 use futures::future::join_all;
 use havenstage_clock::Instant;
-use havenstage_http_link::{Link, LinkError, LinkSettings, Sending};
+use havenstage_http_link::{Link, LinkError, LinkSettings, SendOptions};
 use http::{Request, Response};
 use http_body_util::Full;
 use hyper::server::conn::http1;
@@ -65,7 +65,7 @@
     let settings = LinkSettings {
         connect_timeout: Duration::from_secs(5),
         keep_idle: Duration::from_secs(60),
-        most_idle: KEPT,
+        max_idle_connections: KEPT,
     };
     let link = Link::new(proxy.address, settings);
     for answer in join_all((0..KEPT).map(|_| call(&link, "/"))).await {
@@ -130,7 +130,7 @@
     let (proxy, link) = link_with_kept_connections().await;
     proxy.silence();
     let began = Instant::now();
-    let sending = Sending::within(10 * TIMEOUT).ended_when_silent();
+    let sending = SendOptions::within(10 * TIMEOUT).abort_when_silent();
     let error = link.send_as(request(), sending).await.err().unwrap();
     assert_eq!(error, LinkError::Silent);
     assert!(!error.is_unsent());
@@ -139,7 +139,7 @@
 
 /// Asks once more where the connection fell silent.
 async fn ask(link: &Link) -> Result<Bytes, LinkError> {
-    let sending = Sending::within(Duration::from_secs(1)).ended_when_silent();
+    let sending = SendOptions::within(Duration::from_secs(1)).abort_when_silent();
     let answer = match link.send_as(request(), sending).await {
         Err(LinkError::Silent) => link.send_as(request(), sending).await?,
         answer => answer?,
@@ -158,7 +158,7 @@
     let settings = LinkSettings {
         connect_timeout: TIMEOUT,
         keep_idle: Duration::from_secs(60),
-        most_idle: KEPT,
+        max_idle_connections: KEPT,
     };
     let link = Link::new(listener.local_addr().unwrap(), settings);
     let (told_pause_ms, seen) = (pause_ms.clone(), requests.clone());
@@ -199,7 +199,7 @@
     let (proxy, link) = link_with_kept_connections().await;
     let moment = Instant::now();
     for _ in 0..2 {
-        let sending = Sending::within(TIMEOUT).over_one_heard_since(moment);
+        let sending = SendOptions::within(TIMEOUT).over_connection_active_since(moment);
         let answer = link.send_as(request(), sending).await.unwrap();
         answer.whole(1024).await.unwrap();
     }
@@ -225,12 +225,12 @@
     let settings = LinkSettings {
         connect_timeout: TIMEOUT,
         keep_idle: Duration::from_secs(60),
-        most_idle: KEPT,
+        max_idle_connections: KEPT,
     };
     let link = Link::new(from_server.recv().unwrap(), settings);
     call(&link, "/").await.unwrap();
     for _ in 0..10 {
-        let sending = Sending::within(Duration::from_secs(1)).ended_when_silent();
+        let sending = SendOptions::within(Duration::from_secs(1)).abort_when_silent();
         let sent = tokio::spawn({
             let link = link.clone();
             let mut request = request();
@@ -253,16 +253,16 @@
 async fn a_new_connection_does_not_hide_that_the_older_ones_are_silent() {
     let (proxy, link) = link_with_kept_connections().await;
     proxy.silence();
-    let started = |path: &str, sending: Sending| {
+    let started = |path: &str, sending: SendOptions| {
         let mut request = request();
         *request.uri_mut() = path.parse().unwrap();
         let link = link.clone();
         tokio::spawn(async move { link.send_as(request, sending).await.err() })
     };
-    let lasting = Sending::within(5 * TIMEOUT).ended_when_silent();
-    let question = started("/slow", lasting.answered_after(TIMEOUT));
+    let lasting = SendOptions::within(5 * TIMEOUT).abort_when_silent();
+    let question = started("/slow", lasting.expect_answer_after(TIMEOUT));
     tokio::time::sleep(Duration::from_millis(20)).await;
-    let over_new_one = Sending::within(TIMEOUT).over_one_heard_since(Instant::now());
+    let over_new_one = SendOptions::within(TIMEOUT).over_connection_active_since(Instant::now());
     let talk = async {
         loop {
             let mut request = request();
