--- a/crates/clock/src/time_of_day.rs
+++ b/crates/clock/src/time_of_day.rs
@@ -1,81 +1,82 @@
-//! Time of day for work that is accounted by windows of it.
+//! Wall-clock time without short-lived jumps, for work that is accounted in windows of it.
 //!
-//! A machine's time of day may jump by seconds and come back. Between jumps the steady clock tells as well how
-//! much time has passed, so what is kept here is how far the time of day is ahead of it. A small change is
-//! believed at once, a jump only when it has lasted.
+//! The system's wall clock may jump by seconds and jump back. Between jumps, the monotonic clock measures
+//! elapsed time just as well, so this module tracks the offset of the wall clock from the monotonic clock. It
+//! adopts a small change of the offset at once, a large one only after it has persisted.
 
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use crate::Instant;
 
-/// Milliseconds since the beginning of 1970.
+/// Milliseconds since the Unix epoch.
 pub type UnixMillis = u64;
 
-/// Change of the lead that is taken for a correction of the clock and believed at once, in milliseconds:
-/// time services slew differences below half a second.
-const CORRECTION_MS: i64 = 300;
-/// Time for which a jump must last to be believed: jumps that come back do so within seconds.
-const JUMP_LASTS: Duration = Duration::from_secs(30);
+/// Largest change of the offset that is adopted at once, as a correction of the clock, in milliseconds.
+/// Time services slew differences below half a second.
+const MAX_CORRECTION_MS: i64 = 300;
+/// A jump is adopted after it has persisted for this time: temporary jumps are undone within seconds.
+const MIN_JUMP_DURATION: Duration = Duration::from_secs(30);
 
-/// How far the time of day is ahead of the steady clock, without jumps that come back.
+/// Offset of the wall clock from the monotonic clock, filtered so that temporary jumps have no effect.
 #[derive(Debug)]
-pub struct Lead {
-    believed_ms: i64,
+pub struct WallClockOffset {
+    adopted_ms: i64,
     jumped_at: Option<Instant>,
 }
 
-impl Lead {
-    /// What was read first is believed.
-    pub fn new(read_ms: i64) -> Self {
+impl WallClockOffset {
+    /// Adopts the first measured offset, in milliseconds.
+    pub fn new(measured_ms: i64) -> Self {
         Self {
-            believed_ms: read_ms,
+            adopted_ms: measured_ms,
             jumped_at: None,
         }
     }
 
-    /// The lead was read as `read_ms` at `now`; answers the one that is believed.
-    pub fn read(&mut self, read_ms: i64, now: Instant) -> i64 {
-        let is_correction = (read_ms - self.believed_ms).abs() <= CORRECTION_MS;
+    /// Records an offset that was measured at `now`, and returns the adopted offset, both in milliseconds.
+    pub fn update(&mut self, measured_ms: i64, now: Instant) -> i64 {
+        let is_correction = (measured_ms - self.adopted_ms).abs() <= MAX_CORRECTION_MS;
         let jumped_at = *self.jumped_at.get_or_insert(now);
-        let has_lasted = now.saturating_duration_since(jumped_at) >= JUMP_LASTS;
-        if is_correction || has_lasted {
-            self.believed_ms = read_ms;
+        let has_persisted = now.saturating_duration_since(jumped_at) >= MIN_JUMP_DURATION;
+        if is_correction || has_persisted {
+            self.adopted_ms = measured_ms;
             self.jumped_at = None;
         }
-        self.believed_ms
+        self.adopted_ms
     }
 }
 
-/// The time of day of this machine.
+/// Wall clock of this machine without temporary jumps.
 #[derive(Debug)]
 pub struct TimeOfDay {
     start: Instant,
-    lead: Mutex<Lead>,
+    offset: Mutex<WallClockOffset>,
 }
 
 impl TimeOfDay {
-    /// Believes what the machine's clock says now.
+    /// Creates a clock that starts at the current system time.
     pub fn start() -> Self {
         let start = Instant::now();
         Self {
             start,
-            lead: Mutex::new(Lead::new(system_ms())),
+            offset: Mutex::new(WallClockOffset::new(system_ms())),
         }
     }
 
-    /// Now, in milliseconds since the beginning of 1970.
+    /// Returns the current time, in milliseconds since the Unix epoch.
     pub fn now(&self) -> UnixMillis {
         let now = Instant::now();
-        let steady_ms = now.saturating_duration_since(self.start).as_millis() as i64;
-        let mut lead = self.lead.lock().unwrap_or_else(PoisonError::into_inner);
-        let believed_ms = lead.read(system_ms() - steady_ms, now);
-        (believed_ms + steady_ms).max(0) as UnixMillis
+        let elapsed_ms = now.saturating_duration_since(self.start).as_millis() as i64;
+        let mut offset = self.offset.lock().unwrap_or_else(PoisonError::into_inner);
+        let adopted_ms = offset.update(system_ms() - elapsed_ms, now);
+        (adopted_ms + elapsed_ms).max(0) as UnixMillis
     }
 }
 
-/// What the machine's clock says; 0 if it stands before 1970, which no accounted window does.
+/// System time in milliseconds since the Unix epoch; 0 if the system clock is set before it, where no accounted
+/// window lies.
 fn system_ms() -> i64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.map_or(0, |since| since.as_millis() as i64)
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+    since_epoch.map_or(0, |since_epoch| since_epoch.as_millis() as i64)
 }
--- a/crates/clock/tests/suspended_time.rs
+++ b/crates/clock/tests/suspended_time.rs
@@ -1,4 +1,5 @@
-//! The clock adds what its source tells of suspensions, and never goes back.
+//! `Instant` includes the suspended time that its source reports; the source can be replaced only once, before
+//! its first use.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
@@ -12,22 +13,22 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn suspended_time_counts_and_the_source_is_chosen_once() {
+async fn elapsed_time_includes_suspended_time_and_the_source_is_replaced_only_once() {
     replace_source(source).unwrap();
-    let began = Instant::now();
+    let start = Instant::now();
     tokio::time::sleep(Duration::from_millis(100)).await;
-    assert_eq!(began.elapsed(), Duration::from_millis(100));
-    let due = began + Duration::from_secs(3);
+    assert_eq!(start.elapsed(), Duration::from_millis(100));
+    let due = start + Duration::from_secs(3);
     SUSPENDED_MS.store(5_000, Ordering::Relaxed);
-    assert_eq!(began.elapsed(), Duration::from_millis(5_100));
+    assert_eq!(start.elapsed(), Duration::from_millis(5_100));
     assert_eq!(suspended(), Duration::from_secs(5));
-    let steady = tokio::time::Instant::now();
+    let monotonic = tokio::time::Instant::now();
     havenstage_clock::sleep_until(due).await;
     assert!(
-        steady.elapsed() < Duration::from_millis(5),
-        "it was due long ago"
+        monotonic.elapsed() < Duration::from_millis(5),
+        "the moment had passed during the suspension"
     );
-    let passed = havenstage_clock::timeout_at(due, std::future::pending::<()>());
-    assert!(passed.await.is_err());
+    let timed_out = havenstage_clock::timeout_at(due, std::future::pending::<()>());
+    assert!(timed_out.await.is_err());
     assert_eq!(replace_source(source), Err(SourceInUse));
 }
--- a/crates/clock/tests/system_clocks.rs
+++ b/crates/clock/tests/system_clocks.rs
@@ -1,25 +1,28 @@
-//! The system's own clocks: they can be read, and the clock made of them runs with the steady one.
+//! Without suspensions, `Instant` on the system clocks advances like the monotonic clock and never goes backwards.
 
 use std::time::Duration;
 
 use havenstage_clock::{Instant, suspended};
 
 #[test]
-fn the_clock_runs_with_the_steady_one_while_nothing_is_suspended() {
-    let (steady, began) = (std::time::Instant::now(), Instant::now());
+fn the_clock_advances_like_the_monotonic_clock() {
+    let (monotonic, start) = (std::time::Instant::now(), Instant::now());
     let before = suspended();
-    let mut last = began;
+    let mut last = start;
     for _ in 0..2_000 {
         let now = Instant::now();
-        assert!(now >= last, "it went back");
+        assert!(now >= last, "the clock went backwards");
         last = now;
     }
     std::thread::sleep(Duration::from_millis(50));
-    let (ours, steady) = (began.elapsed(), steady.elapsed());
+    let (elapsed, monotonic) = (start.elapsed(), monotonic.elapsed());
     let suspended = suspended() - before;
-    assert!(ours <= steady + suspended, "{ours:?} against {steady:?}");
     assert!(
-        ours + Duration::from_millis(5) >= steady,
-        "{ours:?} against {steady:?}"
+        elapsed <= monotonic + suspended,
+        "{elapsed:?} vs monotonic {monotonic:?}"
+    );
+    assert!(
+        elapsed + Duration::from_millis(5) >= monotonic,
+        "{elapsed:?} vs monotonic {monotonic:?}"
     );
 }
