--- a/crates/http-link/src/answer.rs
+++ b/crates/http-link/src/answer.rs
@@ -1,4 +1,4 @@
-//! An answer whose body is still coming.
+//! The response to a request, whose body is read as it arrives.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,12 +13,14 @@
 use crate::error::LinkError;
 use crate::link::Shared;
 
-/// Taken off the time that a server says it keeps a resting connection.
+/// Subtracted from the idle timeout that a server announces, so that no request is sent over a connection that the
+/// server is about to close.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(700);
-/// Header in which a server tells how long it keeps a resting connection.
+/// Header in which a server announces its idle timeout.
 const KEEP_ALIVE: &str = "keep-alive";
 
-/// The head of an answer, with its body to be read.
+/// The head of an answer, and its body, which is read with [`Answer::next_bytes`] or [`Answer::whole`]. Dropping it
+/// before the end of the body has_connection_close the connection.
 pub struct Answer {
     status: StatusCode,
     headers: HeaderMap,
@@ -27,16 +29,17 @@
     link: Arc<Shared>,
 }
 
-/// An answer read to its end.
+/// An answer whose body was read completely.
 #[derive(Debug, Clone)]
 pub struct WholeAnswer {
-    /// Status.
+    /// HTTP status of the answer.
     pub status: StatusCode,
-    /// Headers.
+    /// Headers of the answer; trailers are not included.
     pub headers: HeaderMap,
-    /// Body.
+    /// Complete body, without chunk framing.
     pub body: Bytes,
-    /// Whether the end was marked; if not, the body ended with its connection.
+    /// Whether the length or chunks marked the end of the body. If false, the body ended when the connection closed, so
+    /// it may be truncated.
     pub framed: bool,
 }
 
@@ -56,29 +59,30 @@
         }
     }
 
-    /// Status.
+    /// HTTP status of the answer.
     pub fn status(&self) -> StatusCode {
         self.status
     }
 
-    /// Headers.
+    /// Headers of the answer.
     pub fn headers(&self) -> &HeaderMap {
         &self.headers
     }
 
-    /// Whether the end of the body is marked, by a length or by chunks.
+    /// Whether a content length or chunked encoding marks the end of the body, or the body is empty.
     pub fn is_framed(&self) -> bool {
         self.headers.contains_key(CONTENT_LENGTH)
             || self.headers.contains_key(TRANSFER_ENCODING)
             || self.body.is_end_stream()
     }
 
-    /// The next bytes of the body, or `None` at its end. At the end the connection is kept.
+    /// Returns the next bytes of the body, or `None` at its end, where the connection goes back to the idle pool.
+    /// Returns [`LinkError::Broken`] if the connection breaks first.
     pub async fn next_bytes(&mut self) -> Result<Option<Bytes>, LinkError> {
         loop {
             match self.body.frame().await {
                 None => {
-                    self.keep_connection();
+                    self.return_connection();
                     return Ok(None);
                 }
                 Some(Err(_)) => {
@@ -86,7 +90,7 @@
                     return Err(LinkError::Broken);
                 }
                 Some(Ok(frame)) => {
-                    self.hear();
+                    self.record_activity();
                     if let Ok(bytes) = frame.into_data() {
                         return Ok(Some(bytes));
                     }
@@ -95,12 +99,12 @@
         }
     }
 
-    /// Reads the rest, up to `most_bytes`.
-    pub async fn whole(mut self, most_bytes: usize) -> Result<WholeAnswer, LinkError> {
+    /// Reads the rest of the body. Returns [`LinkError::TooLong`] if it is longer than `max_bytes`.
+    pub async fn whole(mut self, max_bytes: usize) -> Result<WholeAnswer, LinkError> {
         let framed = self.is_framed();
         let mut body = BytesMut::new();
         while let Some(bytes) = self.next_bytes().await? {
-            if body.len() + bytes.len() > most_bytes {
+            if body.len() + bytes.len() > max_bytes {
                 return Err(LinkError::TooLong);
             }
             body.extend_from_slice(&bytes);
@@ -113,33 +117,34 @@
         })
     }
 
-    fn hear(&self) {
+    fn record_activity(&self) {
         if let Some(connection) = &self.connection {
-            connection.activity.hear();
+            connection.activity.record_activity();
         }
     }
 
-    fn keep_connection(&mut self) {
+    fn return_connection(&mut self) {
         let Some(connection) = self.connection.take() else {
             return;
         };
-        if !self.closes() {
-            self.link.give_back(connection, self.told_keep_alive());
+        if !self.has_connection_close() {
+            self.link
+                .return_idle(connection, self.announced_idle_timeout());
         }
     }
 
-    fn closes(&self) -> bool {
+    fn has_connection_close(&self) -> bool {
         let values = self.headers.get_all(CONNECTION).iter();
         let mut texts = values.filter_map(|value| value.to_str().ok());
         texts.any(|text| text.to_ascii_lowercase().contains("close"))
     }
 
-    fn told_keep_alive(&self) -> Option<Duration> {
+    fn announced_idle_timeout(&self) -> Option<Duration> {
         let text = self.headers.get(KEEP_ALIVE)?.to_str().ok()?;
         let seconds = text
             .split(',')
             .find_map(|part| part.trim().strip_prefix("timeout="))?;
-        let told = Duration::from_secs(seconds.trim().parse().ok()?);
-        Some(told.saturating_sub(KEEP_ALIVE_MARGIN))
+        let announced = Duration::from_secs(seconds.trim().parse().ok()?);
+        Some(announced.saturating_sub(KEEP_ALIVE_MARGIN))
     }
 }
--- a/crates/http-link/src/connection.rs
+++ b/crates/http-link/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection and the task that drives it.
+//! A TCP connection with an HTTP/1.1 client, and the task that drives it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,22 +16,22 @@
 use crate::error::LinkError;
 use crate::silence::ConnectionActivity;
 
-/// Time after which the system gives up a connection whose peer acknowledges nothing.
+/// Time after which the operating system closes a connection whose peer acknowledges nothing.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(3);
-/// Quiet time after which the system asks whether the peer is still there, and time between two
-/// questions. Without them a connection that only reads never learns that its peer was cut off.
-const KEEP_ALIVE_PAUSE: Duration = Duration::from_secs(1);
-/// Largest buffer for what is read from a connection.
+/// Idle time before the first TCP keep-alive probe, and interval between probes. Without probes, a connection that
+/// only reads never detects that its peer is unreachable.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Maximum size of a connection's read buffer.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
 
-/// Has the system end a connection whose peer acknowledges nothing, or takes nothing, for so long,
-/// whether there is something to be sent or not.
+/// Makes the operating system close a connection whose peer acknowledges nothing, or accepts no data, for `after`,
+/// whether or not there is data to be sent. Socket options that can't be set are ignored.
 pub fn end_when_unacknowledged(stream: &TcpStream, after: Duration) {
     let socket = SockRef::from(stream);
     let keep_alive = TcpKeepalive::new()
-        .with_time(KEEP_ALIVE_PAUSE)
-        .with_interval(KEEP_ALIVE_PAUSE);
-    // A connection works without these options, only its end is noticed late.
+        .with_time(KEEP_ALIVE_INTERVAL)
+        .with_interval(KEEP_ALIVE_INTERVAL);
+    // The connection works without these options, but its failure is detected later.
     let _ = socket.set_tcp_user_timeout(Some(after));
     let _ = socket.set_tcp_keepalive(&keep_alive);
 }
@@ -40,7 +40,7 @@
 pub(crate) struct Connection {
     pub(crate) sender: SendRequest<Full<Bytes>>,
     pub(crate) idle_since: Instant,
-    pub(crate) keep_for: Duration,
+    pub(crate) idle_timeout: Duration,
     pub(crate) activity: Arc<ConnectionActivity>,
     driver: AbortHandle,
 }
@@ -49,17 +49,18 @@
     pub(crate) async fn open(
         address: SocketAddr,
         timeout: Duration,
-        keep_for: Duration,
-        opened: impl FnOnce() -> Arc<ConnectionActivity>,
+        idle_timeout: Duration,
+        register: impl FnOnce() -> Arc<ConnectionActivity>,
     ) -> Result<Self, LinkError> {
         let connect = TcpStream::connect(address);
         let stream = tokio::time::timeout(timeout, connect)
             .await
             .map_err(|_| LinkError::NotConnected)?
             .map_err(|_| LinkError::NotConnected)?;
-        // A connection works without these options, only less promptly.
+        // The connection works without these options, but with higher latency.
         let _ = stream.set_nodelay(true);
-        // Closing resets: bytes that a partition holds up must not arrive after they were given up.
+        // Closing the socket sends a reset and discards unsent bytes: bytes that a network partition holds up must
+        // not reach the server after the request was abandoned.
         let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
         end_when_unacknowledged(&stream, UNACKNOWLEDGED_TIMEOUT);
         let (sender, connection) = http1::Builder::new()
@@ -68,21 +69,21 @@
             .await
             .map_err(|_| LinkError::NotConnected)?;
         let driver = tokio::spawn(async move {
-            // The exchange under way sees the error itself.
+            // The exchange in flight gets the error itself.
             let _ = connection.await;
         });
         Ok(Self {
             sender,
             idle_since: Instant::now(),
-            keep_for,
-            activity: opened(),
+            idle_timeout,
+            activity: register(),
             driver: driver.abort_handle(),
         })
     }
 
-    /// Whether it may carry another exchange.
+    /// Whether the connection is open and has not exceeded its idle timeout, so that it can carry another exchange.
     pub(crate) fn is_usable(&self) -> bool {
-        self.sender.is_ready() && self.idle_since.elapsed() < self.keep_for
+        self.sender.is_ready() && self.idle_since.elapsed() < self.idle_timeout
     }
 }
 
--- a/crates/http-link/src/lib.rs
+++ b/crates/http-link/src/lib.rs
@@ -1,6 +1,6 @@
-//! Kept HTTP/1.1 connections to one address, with errors that say whether a request can have
-//! reached the server. Dropping an answer before its end closes its connection, which cancels the
-//! request at a server that watches for that.
+//! A pool of persistent HTTP/1.1 connections to one address. Its errors say whether the server may have acted on
+//! the request. Dropping an answer before its end closes its connection, which cancels the request at a server that
+//! detects closed connections.
 
 mod answer;
 mod connection;
--- a/crates/http-link/src/link.rs
+++ b/crates/http-link/src/link.rs
@@ -1,4 +1,4 @@
-//! The connections kept to one address.
+//! The connection pool of one address, and the sending of requests over it.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -18,29 +18,30 @@
 use crate::error::LinkError;
 use crate::probe::{OpenProbe, Probe};
 use crate::send_options::SendOptions;
-use crate::silence::{Awaited, Silence};
+use crate::silence::{PendingExchange, Silence};
 
 /// Limits of a [`Link`].
 #[derive(Debug, Clone, Copy)]
 pub struct LinkSettings {
-    /// Longest time for a connection to come up.
+    /// Timeout for establishing a connection.
     pub connect_timeout: Duration,
-    /// Longest time a connection rests before it is not used again.
+    /// Idle time after which a connection is not reused. A shorter idle timeout that the server announces takes
+    /// precedence.
     pub keep_idle: Duration,
-    /// Most resting connections.
+    /// Maximum number of idle connections; the one that has been idle longest is closed first.
     pub max_idle_connections: usize,
 }
 
-/// What a link has done since it was made.
+/// Counters of a link since its creation.
 #[derive(Debug, Default)]
 pub struct LinkTraffic {
-    /// Connections opened.
+    /// Attempts to open a connection for a request.
     pub opened: AtomicU64,
-    /// Requests written.
+    /// Requests handed to a connection to be written.
     pub requests: AtomicU64,
 }
 
-/// Kept connections to one address.
+/// Pool of persistent connections to one address. Clones share the pool.
 #[derive(Clone)]
 pub struct Link {
     shared: Arc<Shared>,
@@ -54,16 +55,16 @@
     silence: Silence,
 }
 
-/// How one send ended.
-enum Sent {
+/// Outcome of one attempt to send a request.
+enum SendOutcome {
     Answered(Answer),
     Failed(LinkError),
-    /// Nothing was written, as the kept connection was closed.
+    /// Nothing was written, because the reused connection was already closed. Holds the request.
     NotWritten(Request<Full<Bytes>>),
 }
 
 impl Link {
-    /// A link without connections yet.
+    /// Creates a link without connections; the first request opens one.
     pub fn new(address: SocketAddr, settings: LinkSettings) -> Self {
         let shared = Shared {
             address,
@@ -77,18 +78,18 @@
         }
     }
 
-    /// Where it leads.
+    /// Address that the connections are opened to.
     pub fn address(&self) -> SocketAddr {
         self.shared.address
     }
 
-    /// What it has done.
+    /// Counters of opened connections and written requests.
     pub fn traffic(&self) -> &LinkTraffic {
         &self.shared.traffic
     }
 
-    /// Sends a request and waits for the head of the answer. A kept connection that turns out to
-    /// be closed before anything was written is replaced by a new one.
+    /// Sends a request and waits up to `timeout` for the head of the answer. If an idle connection turns out to be
+    /// closed before anything was written, the request is sent over another one.
     pub async fn send(
         &self,
         request: Request<Full<Bytes>>,
@@ -97,8 +98,8 @@
         self.send_as(request, SendOptions::within(timeout)).await
     }
 
-    /// The same, where nothing of the request may be written after `write_by`: the process may have
-    /// stood still, or the connection may have been long in coming up.
+    /// Like [`Link::send`], but writes nothing after `write_by`, for instance because the process was paused or the
+    /// connection was slow to open. Returns [`LinkError::TooLate`] then.
     pub async fn send_by(
         &self,
         request: Request<Full<Bytes>>,
@@ -109,7 +110,7 @@
         self.send_as(request, sending).await
     }
 
-    /// The same, with all that its sender says of the request.
+    /// Like [`Link::send`], with all options.
     pub async fn send_as(
         &self,
         mut request: Request<Full<Bytes>>,
@@ -117,11 +118,11 @@
     ) -> Result<Answer, LinkError> {
         let deadline = Instant::now() + sending.timeout;
         loop {
-            let kept = self.shared.take_idle(sending.heard_since);
-            match self.send_once(request, kept, &sending, deadline).await {
-                Sent::Answered(answer) => return Ok(answer),
-                Sent::Failed(error) => return Err(error),
-                Sent::NotWritten(unsent) => request = unsent,
+            let reused = self.shared.take_idle(sending.active_since);
+            match self.send_once(request, reused, &sending, deadline).await {
+                SendOutcome::Answered(answer) => return Ok(answer),
+                SendOutcome::Failed(error) => return Err(error),
+                SendOutcome::NotWritten(unsent) => request = unsent,
             }
         }
     }
@@ -129,86 +130,95 @@
     async fn send_once(
         &self,
         request: Request<Full<Bytes>>,
-        kept: Option<Connection>,
+        reused: Option<Connection>,
         sending: &SendOptions,
         deadline: Instant,
-    ) -> Sent {
-        let is_kept = kept.is_some();
-        let mut connection = match kept {
+    ) -> SendOutcome {
+        let is_reused = reused.is_some();
+        let mut connection = match reused {
             Some(connection) => connection,
             None => match self.open(deadline).await {
                 Ok(connection) => connection,
-                Err(error) => return Sent::Failed(error),
+                Err(error) => return SendOutcome::Failed(error),
             },
         };
-        let began = Instant::now();
-        if sending.write_by.is_some_and(|write_by| began > write_by) {
-            return Sent::Failed(LinkError::TooLate);
+        let started_at = Instant::now();
+        if sending
+            .write_by
+            .is_some_and(|write_by| started_at > write_by)
+        {
+            return SendOutcome::Failed(LinkError::TooLate);
         }
         self.shared.traffic.requests.fetch_add(1, Ordering::Relaxed);
-        let awaited = Awaited {
+        let exchange = PendingExchange {
             activity: connection.activity.clone(),
-            began,
-            due_from: began + sending.answer_after,
-            least_patience: sending.least_patience,
+            started_at,
+            answer_due_from: started_at + sending.answer_delay,
+            min_silence_timeout: sending.min_silence_timeout,
             deadline,
         };
         let head = connection.sender.try_send_request(request);
-        let silent = self.until_silent(&awaited, is_kept, sending.ends_when_silent);
+        let silent = self.wait_until_silent(&exchange, is_reused, sending.aborts_when_silent);
         tokio::select! {
             biased;
             head = head => match head {
                 Ok(response) => {
-                    connection.activity.hear();
-                    self.shared.silence.note_answer_time(&awaited);
-                    Sent::Answered(Answer::new(response, connection, self.shared.clone()))
+                    connection.activity.record_activity();
+                    self.shared.silence.record_response_time(&exchange);
+                    SendOutcome::Answered(Answer::new(response, connection, self.shared.clone()))
                 }
                 Err(mut failed) => match failed.take_message() {
-                    Some(unsent) if is_kept => Sent::NotWritten(unsent),
-                    Some(_) => Sent::Failed(LinkError::NotSent),
-                    None => Sent::Failed(LinkError::Broken),
+                    Some(unsent) if is_reused => SendOutcome::NotWritten(unsent),
+                    Some(_) => SendOutcome::Failed(LinkError::NotSent),
+                    None => SendOutcome::Failed(LinkError::Broken),
                 },
             },
-            () = silent => Sent::Failed(LinkError::Silent),
+            () = silent => SendOutcome::Failed(LinkError::Silent),
             () = havenstage_clock::sleep_until(deadline) => {
-                if !is_kept {
-                    self.shared.silence.note_answer_time(&awaited);
+                if !is_reused {
+                    self.shared.silence.record_response_time(&exchange);
                 }
-                Sent::Failed(LinkError::TimedOut)
+                SendOutcome::Failed(LinkError::TimedOut)
             }
         }
     }
 
-    /// Ends when an exchange is to be given up because its connection fell silent; never for one whose
-    /// sender waits for the answer all the same.
-    async fn until_silent(&self, awaited: &Awaited, is_kept: bool, may_end: bool) {
+    /// Waits until the connection of an exchange is found silent. Never returns if `may_abort` is false; a silent
+    /// connection is then still detected and reported to the other exchanges.
+    async fn wait_until_silent(
+        &self,
+        exchange: &PendingExchange,
+        is_reused: bool,
+        may_abort: bool,
+    ) {
         let silence = &self.shared.silence;
         let overdue = async {
-            // Of a new connection nothing is known that a slow answer could be compared with.
-            if !is_kept {
+            // A new connection has received nothing before, so a slow answer can't be told from silence.
+            if !is_reused {
                 std::future::pending::<()>().await;
             }
-            let since = silence.until_overdue(awaited).await;
-            self.shared.close_resting(since, awaited);
+            let since = silence.wait_until_overdue(exchange).await;
+            self.shared.close_silent_connections(since, exchange);
         };
-        let until_marked_silent = silence.until_marked_silent(awaited);
+        let marked_silent = silence.wait_until_marked_silent(exchange);
         tokio::select! {
             () = overdue => {}
-            () = until_marked_silent => {}
+            () = marked_silent => {}
         }
-        if !may_end {
+        if !may_abort {
             std::future::pending::<()>().await;
         }
     }
 
-    /// Opens a connection to tell what becomes of the process at the address; nothing is sent over it.
+    /// Opens a connection to check whether the process at the address is alive; nothing is sent over it.
     pub async fn probe(&self, timeout: Duration) -> Probe {
         let connect = TcpStream::connect(self.shared.address);
         match tokio::time::timeout(timeout, connect).await {
             Ok(Ok(stream)) => Probe::Open(OpenProbe(stream)),
             Ok(Err(error)) => match error.kind() {
                 ErrorKind::ConnectionRefused => Probe::Refused,
-                // Its listener closed with this connection in its queue, or it takes no more.
+                // The listener closed while this connection was in its accept queue, or it accepts no more
+                // connections.
                 ErrorKind::ConnectionReset => Probe::Reset,
                 _ => Probe::Unknown,
             },
@@ -216,7 +226,7 @@
         }
     }
 
-    /// Whether a resting connection may be used.
+    /// Whether there is an idle connection that can be reused.
     pub fn has_idle(&self) -> bool {
         self.shared.lock_idle().iter().any(Connection::is_usable)
     }
@@ -226,20 +236,21 @@
         let left = deadline.saturating_duration_since(Instant::now());
         let timeout = settings.connect_timeout.min(left);
         self.shared.traffic.opened.fetch_add(1, Ordering::Relaxed);
-        let opened = || self.shared.silence.opened();
-        Connection::open(self.shared.address, timeout, settings.keep_idle, opened).await
+        let register = || self.shared.silence.register_connection();
+        Connection::open(self.shared.address, timeout, settings.keep_idle, register).await
     }
 }
 
 impl Shared {
-    /// The connection that was used last, if it was heard from since a moment.
-    fn take_idle(&self, heard_since: Option<Instant>) -> Option<Connection> {
+    /// Takes the usable connection that became idle last from the pool, if it received something at or after
+    /// `active_since`.
+    fn take_idle(&self, active_since: Option<Instant>) -> Option<Connection> {
         let mut idle = self.lock_idle();
         while let Some(connection) = idle.pop() {
             if !connection.is_usable() {
                 continue;
             }
-            if heard_since.is_none_or(|since| connection.activity.heard() >= since) {
+            if active_since.is_none_or(|since| connection.activity.last_received() >= since) {
                 return Some(connection);
             }
             idle.push(connection);
@@ -248,34 +259,37 @@
         None
     }
 
-    /// Marks the connections that were not heard from after `since` as silent and closes the resting ones
-    /// of them: what silenced the one of this exchange has silenced them too, and each would cost another
-    /// exchange its time.
-    fn close_resting(&self, since: Instant, awaited: &Awaited) {
-        if self.silence.is_marked_silent(awaited) {
+    /// Marks the connections that received nothing after `since` as silent and closes the idle ones among them: they
+    /// have probably fallen silent for the same reason, and each of them would make another exchange time out.
+    fn close_silent_connections(&self, since: Instant, exchange: &PendingExchange) {
+        if self.silence.is_marked_silent(exchange) {
             return;
         }
-        self.silence.mark_silent(since, awaited);
+        self.silence.mark_silent(since, exchange);
         let closed = {
             let mut idle = self.lock_idle();
             let before = idle.len();
-            idle.retain(|kept| kept.activity.heard() > since);
+            idle.retain(|connection| connection.activity.last_received() > since);
             before - idle.len()
         };
         warn!(event = "connections_silent", peer = self.address.to_string().as_str(),
             closed = closed, quiet_ms = since.elapsed().as_millis() as u64; "");
     }
 
-    pub(crate) fn give_back(&self, mut connection: Connection, keep_alive: Option<Duration>) {
+    pub(crate) fn return_idle(
+        &self,
+        mut connection: Connection,
+        announced_idle_timeout: Option<Duration>,
+    ) {
         connection.idle_since = Instant::now();
-        connection.keep_for = match keep_alive {
-            Some(told) => told.min(self.settings.keep_idle),
+        connection.idle_timeout = match announced_idle_timeout {
+            Some(announced) => announced.min(self.settings.keep_idle),
             None => self.settings.keep_idle,
         };
         let mut idle = self.lock_idle();
-        idle.retain(|kept| kept.idle_since.elapsed() < kept.keep_for);
+        idle.retain(|other| other.idle_since.elapsed() < other.idle_timeout);
         idle.push(connection);
-        // The one that has rested longest is the least certain to work.
+        // The connection that has been idle longest is the most likely to be dead.
         if idle.len() > self.settings.max_idle_connections {
             idle.remove(0);
         }
--- a/crates/http-link/src/probe.rs
+++ b/crates/http-link/src/probe.rs
@@ -1,29 +1,29 @@
-//! Connections that tell whether the process at an address lives.
+//! Connections that show whether the process at an address is alive.
 
 use std::time::Duration;
 
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 
-/// What came of a new connection.
+/// Outcome of an attempt to open a connection.
 #[derive(Debug)]
 pub enum Probe {
-    /// Nobody listens at the address.
+    /// The connection was refused: no process listens at the address.
     Refused,
-    /// The connection was reset as soon as it came up.
+    /// The connection was reset as soon as it was established.
     Reset,
-    /// Somebody listens there; not known who.
+    /// The connection was established. Which process listens there is unknown.
     Open(OpenProbe),
-    /// No connection came up in time: the way there may be cut.
+    /// No connection was established in time, or the attempt failed otherwise: the network may be partitioned.
     Unknown,
 }
 
-/// A connection over which nothing is sent. It closes when the process at its other end ends.
+/// A connection over which nothing is sent. It closes when the process at the other end exits.
 #[derive(Debug)]
 pub struct OpenProbe(pub(crate) TcpStream);
 
 impl OpenProbe {
-    /// Whether it closes within a time.
+    /// Waits until the connection closes, for at most `time`; returns whether it closed.
     pub async fn closes_within(&mut self, time: Duration) -> bool {
         let mut byte = [0];
         let read = tokio::time::timeout(time, self.0.read(&mut byte)).await;
--- a/crates/http-link/src/send_options.rs
+++ b/crates/http-link/src/send_options.rs
@@ -1,65 +1,67 @@
-//! What a sender says about a request besides the request itself.
+//! Timeouts and conditions under which a request is sent.
 
 use std::time::Duration;
 
 use havenstage_clock::Instant;
 
-use crate::silence::LEAST_PATIENCE;
+use crate::silence::MIN_SILENCE_TIMEOUT;
 
-/// How a request is to be sent.
+/// Timeouts and conditions under which a request is sent.
 #[derive(Debug, Clone, Copy)]
 pub struct SendOptions {
     pub(crate) timeout: Duration,
     pub(crate) write_by: Option<Instant>,
-    pub(crate) answer_after: Duration,
-    pub(crate) heard_since: Option<Instant>,
-    pub(crate) ends_when_silent: bool,
-    pub(crate) least_patience: Duration,
+    pub(crate) answer_delay: Duration,
+    pub(crate) active_since: Option<Instant>,
+    pub(crate) aborts_when_silent: bool,
+    pub(crate) min_silence_timeout: Duration,
 }
 
 impl SendOptions {
-    /// The head of the answer must come within a time.
+    /// Options with a timeout for the head of the answer, and no other conditions.
     pub fn within(timeout: Duration) -> Self {
         Self {
             timeout,
             write_by: None,
-            answer_after: Duration::ZERO,
-            heard_since: None,
-            ends_when_silent: false,
-            least_patience: LEAST_PATIENCE,
+            answer_delay: Duration::ZERO,
+            active_since: None,
+            aborts_when_silent: false,
+            min_silence_timeout: MIN_SILENCE_TIMEOUT,
         }
     }
 
-    /// Nothing of the request may be written after a moment.
+    /// Sets the moment after which the request is no longer written, but fails with
+    /// [`LinkError::TooLate`](crate::LinkError::TooLate).
     pub fn write_deadline(mut self, moment: Instant) -> Self {
         self.write_by = Some(moment);
         self
     }
 
-    /// The server is asked to wait so long before it answers; its silence until then says nothing.
+    /// Says that the request asks the server to wait for `wait` before it answers. Until then, a missing answer does
+    /// not count as silence.
     pub fn expect_answer_after(mut self, wait: Duration) -> Self {
-        self.answer_after = wait;
+        self.answer_delay = wait;
         self
     }
 
-    /// A kept connection is used only if it was heard from since a moment: something that was sent then
-    /// has no answer, and a connection that rested since may have fallen silent with it.
+    /// Uses an idle connection only if it received something at or after `moment`. For callers that have an unanswered
+    /// request since then: a connection that has been idle since may have fallen silent for the same reason.
     pub fn over_connection_active_since(mut self, moment: Instant) -> Self {
-        self.heard_since = Some(moment);
+        self.active_since = Some(moment);
         self
     }
 
-    /// The exchange ends with [`LinkError::Silent`](crate::LinkError::Silent) as soon as its connection
-    /// is seen to be silent. Without this its answer is awaited to the end of its time: right for a request
-    /// that may run once only.
+    /// Ends the exchange with [`LinkError::Silent`](crate::LinkError::Silent) as soon as its connection is found
+    /// silent. Without this option the exchange waits for its full timeout, as a request must that may run only once.
     pub fn abort_when_silent(mut self) -> Self {
-        self.ends_when_silent = true;
+        self.aborts_when_silent = true;
         self
     }
 
-    /// A kept connection counts as silent only after so long, where sending again is dear.
-    pub fn min_silence_timeout(mut self, least: Duration) -> Self {
-        self.least_patience = least;
+    /// Sets the minimum time without data after which a reused connection counts as silent, for requests that are
+    /// expensive to repeat.
+    pub fn min_silence_timeout(mut self, timeout: Duration) -> Self {
+        self.min_silence_timeout = timeout;
         self
     }
 }
--- a/crates/http-link/tests/abandoned.rs
+++ b/crates/http-link/tests/abandoned.rs
@@ -1,4 +1,4 @@
-//! A request that its sender has given up on must not reach the server later.
+//! A request that its sender has abandoned must not reach the server later.
 
 use std::io::ErrorKind;
 use std::time::Duration;
@@ -24,10 +24,10 @@
     request
 }
 
-/// A close that follows unacknowledged bytes leaves them on their way: after a partition heals the
-/// server would get the request although its sender has long given it up. A reset takes them back.
+/// After a plain close, the system still retransmits unacknowledged bytes: once a network partition heals, the server
+/// would receive a request that its sender abandoned long ago. A reset discards them.
 #[tokio::test]
-async fn giving_up_resets_the_connection() {
+async fn an_abandoned_request_resets_its_connection() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let link = Link::new(listener.local_addr().unwrap(), settings());
     let server = tokio::spawn(async move {
--- a/crates/http-link/tests/support/mod.rs
+++ b/crates/http-link/tests/support/mod.rs
@@ -1,3 +1,3 @@
-//! What tests of several crates share.
+//! Test support shared by several crates.
 
 pub mod silencing_proxy;
--- a/crates/http-link/tests/support/silencing_proxy.rs
+++ b/crates/http-link/tests/support/silencing_proxy.rs
@@ -1,5 +1,5 @@
-//! A loopback proxy that can silence the connections that are open at a moment, without a reset: what
-//! is written to them is taken and lost, nothing comes back, and new connections work.
+//! A loopback proxy that can silence all connections that are currently open, without a reset: it discards what the
+//! client writes to them and sends nothing back. New connections work.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,9 +9,9 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// A proxy in front of one server.
+/// A running proxy in front of one server.
 pub struct SilencingProxy {
-    /// Where it listens.
+    /// Address on which the proxy listens.
     pub address: SocketAddr,
     opened: Arc<AtomicUsize>,
     silences: watch::Sender<u32>,
@@ -31,12 +31,12 @@
         }
     }
 
-    /// Silences all connections that are open now, for good.
+    /// Silences all currently open connections permanently.
     pub fn silence(&self) {
         self.silences.send_modify(|count| *count += 1);
     }
 
-    /// Connections opened so far.
+    /// Number of connections that clients have opened so far.
     pub fn opened(&self) -> usize {
         self.opened.load(Ordering::Relaxed)
     }
@@ -58,14 +58,14 @@
     let Ok(mut upstream) = TcpStream::connect(server).await else {
         return;
     };
-    // Without it connections only work less promptly.
+    // Without this option connections have a higher latency, but work.
     let _ = (client.set_nodelay(true), upstream.set_nodelay(true));
     tokio::select! {
         _ = copy_bidirectional(&mut client, &mut upstream) => return,
         _ = silences.changed() => {}
     }
-    // Nothing more passes either way; the server's side stays open too.
-    let mut lost = [0; 4096];
-    while matches!(client.read(&mut lost).await, Ok(count) if count > 0) {}
+    // Discards what the client sends, and keeps the connection to the server open until the client closes.
+    let mut discarded = [0; 4096];
+    while matches!(client.read(&mut discarded).await, Ok(count) if count > 0) {}
     let _ = upstream.shutdown().await;
 }
