--- a/crates/memory-store/src/entry_log.rs
+++ b/crates/memory-store/src/entry_log.rs
@@ -1,4 +1,4 @@
-//! One directory: a log of entries of which the newest of each name is kept.
+//! One directory: a compacted log that keeps the newest entry of each name.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -9,7 +9,7 @@
 
 use crate::entry_name::{is_removal, name_of};
 
-/// What an entry counts for in a page of changes, in bytes: one of a back end with its models.
+/// Assumed size of an entry in a page of changes, in bytes: that of a back end with its models.
 const ENTRY_BYTES: u32 = 400;
 
 #[derive(Debug)]
@@ -19,25 +19,25 @@
     written_at: Instant,
 }
 
-/// A directory.
+/// Entries of one directory, by offset and by name.
 #[derive(Debug, Default)]
 pub(crate) struct EntryLog {
     /// Offset of the next entry.
     end: u64,
-    /// Changes before this offset cannot be told any more, as removals among them were forgotten.
-    first: u64,
+    /// Oldest offset from which changes can still be read; removals at earlier offsets were discarded.
+    first_readable: u64,
     entries: BTreeMap<u64, KeptEntry>,
     offsets: BTreeMap<String, u64>,
 }
 
 impl EntryLog {
-    /// Writes an entry in place of the one of its name; answers its offset.
+    /// Writes an entry, which replaces an older one of the same name, and returns its offset.
     pub(crate) fn write(&mut self, entry: DirectoryEntry, now: Instant) -> u64 {
         let offset = self.end;
         self.end += 1;
         let name = name_of(&entry);
-        if let Some(former) = self.offsets.insert(name.clone(), offset) {
-            self.entries.remove(&former);
+        if let Some(previous_offset) = self.offsets.insert(name.clone(), offset) {
+            self.entries.remove(&previous_offset);
         }
         let kept = KeptEntry {
             name,
@@ -48,8 +48,8 @@
         offset
     }
 
-    /// A page of the entries in the order of their names, from behind a name on.
-    pub(crate) fn list(&self, after: Option<&str>, most_entries: usize) -> ListingPage {
+    /// Returns a page of entries without removals, ordered by name, that starts after the name `after`.
+    pub(crate) fn list(&self, after: Option<&str>, max_entries: usize) -> ListingPage {
         let start = after.map_or(Bound::Unbounded, Bound::Excluded);
         let mut rest = self
             .offsets
@@ -59,7 +59,7 @@
             .peekable();
         let mut entries = Vec::new();
         let mut last = None;
-        while entries.len() < most_entries
+        while entries.len() < max_entries
             && let Some((name, entry)) = rest.next()
         {
             entries.push(entry.clone());
@@ -72,17 +72,20 @@
         }
     }
 
-    /// Changes from an offset on, up to so many bytes and at least one if there is one. Of a name that
-    /// changed several times only the newest entry is told.
-    pub(crate) fn changes(&self, from: u64, most_bytes: u32) -> Result<DirectoryPage, LogError> {
-        if from < self.first {
-            return Err(LogError::HistoryDropped { first: self.first });
+    /// Returns the changes from an offset on: as many as fit into `max_bytes`, but at least one if there is one. Of a
+    /// name that changed several times only the newest entry is included. Returns [`LogError::HistoryDropped`] if
+    /// removals at or after `from` were discarded.
+    pub(crate) fn changes(&self, from: u64, max_bytes: u32) -> Result<DirectoryPage, LogError> {
+        if from < self.first_readable {
+            return Err(LogError::HistoryDropped {
+                first: self.first_readable,
+            });
         }
-        let most_entries = (most_bytes / ENTRY_BYTES).max(1) as usize;
+        let max_entries = (max_bytes / ENTRY_BYTES).max(1) as usize;
         let mut rest = self.entries.range(from..);
         let entries: Vec<DirectoryEntry> = rest
             .by_ref()
-            .take(most_entries)
+            .take(max_entries)
             .map(|(_, kept)| kept.entry.clone())
             .collect();
         let next_unread = rest.next().map(|(offset, _)| *offset);
@@ -94,9 +97,9 @@
         })
     }
 
-    /// Forgets the removals that are older than the retention, which else would stay for each name that
-    /// ever was.
-    pub(crate) fn forget_removals(&mut self, retention: Duration, now: Instant) {
+    /// Discards removals that are older than the retention; otherwise one would remain for each name that was ever
+    /// removed.
+    pub(crate) fn discard_old_removals(&mut self, retention: Duration, now: Instant) {
         let Some(oldest) = now.checked_sub(retention) else {
             return;
         };
@@ -111,7 +114,7 @@
             if let Some(kept) = self.entries.remove(&offset) {
                 self.offsets.remove(&kept.name);
             }
-            self.first = self.first.max(offset + 1);
+            self.first_readable = self.first_readable.max(offset + 1);
         }
     }
 }
--- a/crates/memory-store/src/entry_name.rs
+++ b/crates/memory-store/src/entry_name.rs
@@ -1,8 +1,8 @@
-//! The names by which entries of a directory replace each other.
+//! Names of directory entries: a newer entry replaces the older one of the same name.
 
 use havenstage_gateway::edge::DirectoryEntry;
 
-/// Name of an entry; a newer entry of a name replaces the one before.
+/// Returns the name of an entry.
 pub(crate) fn name_of(entry: &DirectoryEntry) -> String {
     match entry {
         DirectoryEntry::Routing(_) => "routing".to_owned(),
@@ -14,7 +14,7 @@
     }
 }
 
-/// Whether an entry takes its name away.
+/// Whether an entry removes its name from the directory.
 pub(crate) fn is_removal(entry: &DirectoryEntry) -> bool {
     matches!(entry, DirectoryEntry::Backend(change) if change.record.is_none())
 }
--- a/crates/memory-store/src/lib.rs
+++ b/crates/memory-store/src/lib.rs
@@ -1,10 +1,9 @@
-//! The traits of [`havenstage_gateway::edge`] in the memory of one process: the shared log, the
-//! checkpoints and the directories.
+//! In-memory implementation of the traits of [`havenstage_gateway::edge`]: the shared log, the checkpoints and the
+//! directories.
 //!
-//! It serves gateways that run in the same process, and tests. Its log keeps what the gateway relies on:
-//! appends are conditional on nothing and taken whole or not at all, a repeated append stands there
-//! twice, offsets of a partition rise by one, and records are dropped some time after they were
-//! appended. Nothing outlives the process.
+//! It serves gateways that run in the same process, and tests. Its log has the properties that the gateway relies on:
+//! appends are unconditional and atomic, a repeated append adds its records twice, offsets in a partition increase by
+//! one, and records are dropped some time after they were appended. Nothing is kept when the process exits.
 
 mod entry_log;
 mod entry_name;
--- a/crates/memory-store/src/partition.rs
+++ b/crates/memory-store/src/partition.rs
@@ -6,31 +6,30 @@
 use havenstage_clock::Instant;
 use havenstage_gateway::edge::{Appended, LogError, LogPage};
 
-/// A record and when it was appended.
 #[derive(Debug, Clone)]
-struct KeptRecord {
+struct RetainedRecord {
     bytes: Bytes,
     appended_at: Instant,
 }
 
-/// Records in the order of their offsets, without those that were dropped.
+/// Retained records of one partition, ordered by offset.
 #[derive(Debug, Default)]
 pub(crate) struct Partition {
-    /// Offset of the oldest record kept.
+    /// Offset of the oldest retained record.
     first: u64,
-    records: VecDeque<KeptRecord>,
+    records: VecDeque<RetainedRecord>,
 }
 
 impl Partition {
-    /// Offset behind the last record.
+    /// Offset of the next record to be appended.
     fn end(&self) -> u64 {
         self.first + self.records.len() as u64
     }
 
-    /// Appends records behind the last one.
+    /// Appends records and returns their offset and the new end of the partition.
     pub(crate) fn append(&mut self, records: Vec<Bytes>, now: Instant) -> Appended {
         let offset = self.end();
-        let kept = records.into_iter().map(|bytes| KeptRecord {
+        let kept = records.into_iter().map(|bytes| RetainedRecord {
             bytes,
             appended_at: now,
         });
@@ -41,8 +40,9 @@
         }
     }
 
-    /// Records from an offset on, up to so many bytes and at least one if there is one.
-    pub(crate) fn read(&self, from: u64, most_bytes: usize) -> Result<LogPage, LogError> {
+    /// Returns the records from an offset on: as many as fit into `max_bytes`, but at least one if there is one.
+    /// Returns [`LogError::HistoryDropped`] if the record at that offset was dropped.
+    pub(crate) fn read(&self, from: u64, max_bytes: usize) -> Result<LogPage, LogError> {
         let Some(skipped) = from.checked_sub(self.first) else {
             return Err(LogError::HistoryDropped { first: self.first });
         };
@@ -51,7 +51,7 @@
         let mut records = Vec::new();
         for record in self.records.iter().skip(skipped) {
             page_bytes = page_bytes.saturating_add(record.bytes.len());
-            if !records.is_empty() && page_bytes > most_bytes {
+            if !records.is_empty() && page_bytes > max_bytes {
                 break;
             }
             records.push(record.bytes.clone());
@@ -63,7 +63,7 @@
         })
     }
 
-    /// Drops the records before an offset; answers the bytes that they held.
+    /// Drops the records before an offset and returns their total size in bytes.
     pub(crate) fn drop_before(&mut self, offset: u64) -> usize {
         let mut dropped = 0;
         while self.first < offset
@@ -75,9 +75,9 @@
         dropped
     }
 
-    /// Drops the records that were appended before a moment; answers the bytes that they held.
+    /// Drops the records that were appended before `moment` and returns their total size in bytes.
     pub(crate) fn drop_older_than(&mut self, moment: Instant) -> usize {
-        let is_old = |record: &&KeptRecord| record.appended_at < moment;
+        let is_old = |record: &&RetainedRecord| record.appended_at < moment;
         let old = self.records.iter().take_while(is_old).count();
         self.drop_before(self.first + old as u64)
     }
--- a/crates/memory-store/src/records.rs
+++ b/crates/memory-store/src/records.rs
@@ -1,4 +1,4 @@
-//! All partitions of the log, with a bound on what they hold together.
+//! All partitions of the log, with a limit on their total size.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,46 +10,47 @@
 use crate::partition::Partition;
 use crate::settings::MemoryStoreSettings;
 
-/// Looks for old records in each time of retention.
-const SWEEPS_IN_RETENTION: u32 = 10;
-/// Status of an append for which there is no room: 507 Insufficient Storage.
+/// Number of times per retention period that expired records are dropped.
+const SWEEPS_PER_RETENTION: u32 = 10;
+/// HTTP status of an append that exceeds the size limit: 507 Insufficient Storage.
 const INSUFFICIENT_STORAGE: u16 = 507;
 
-/// The partitions.
+/// Partitions of the log and their total size.
 #[derive(Debug)]
 pub(crate) struct Records {
     retention: Duration,
     page_bytes: usize,
-    most_bytes: usize,
+    max_bytes: usize,
     partitions: HashMap<StreamPartition, Partition>,
-    /// Bytes of all records kept.
+    /// Total size of all retained records, in bytes.
     bytes: usize,
     swept_at: Instant,
 }
 
 impl Records {
-    /// No records yet.
+    /// Creates an empty log.
     pub(crate) fn new(settings: &MemoryStoreSettings) -> Self {
         Self {
             retention: settings.retention,
             page_bytes: settings.read_page_bytes,
-            most_bytes: settings.most_bytes,
+            max_bytes: settings.most_bytes,
             partitions: HashMap::new(),
             bytes: 0,
             swept_at: Instant::now(),
         }
     }
 
-    /// Appends records to a partition, all or none.
+    /// Appends records to a partition atomically. Returns [`LogError::Refused`] with status 507 if they exceed the size
+    /// limit.
     pub(crate) fn append(
         &mut self,
         id: StreamPartition,
         records: Vec<Bytes>,
         now: Instant,
     ) -> Result<Appended, LogError> {
-        self.drop_old(now);
+        self.drop_expired(now);
         let added: usize = records.iter().map(Bytes::len).sum();
-        if self.bytes.saturating_add(added) > self.most_bytes {
+        if self.bytes.saturating_add(added) > self.max_bytes {
             return Err(LogError::Refused(INSUFFICIENT_STORAGE));
         }
         self.bytes += added;
@@ -57,7 +58,7 @@
         Ok(partition.append(records, now))
     }
 
-    /// Records of a partition from an offset on.
+    /// Returns a page of the records of a partition from an offset on; an empty one if the partition doesn't exist.
     pub(crate) fn read(&self, id: StreamPartition, from: u64) -> Result<LogPage, LogError> {
         match self.partitions.get(&id) {
             Some(partition) => partition.read(from, self.page_bytes),
@@ -76,12 +77,12 @@
         }
     }
 
-    /// Drops what is past its retention, in all partitions: one that nobody appends to holds old records too.
-    fn drop_old(&mut self, now: Instant) {
+    /// Drops expired records in all partitions, because a partition without new appends also holds expired records.
+    fn drop_expired(&mut self, now: Instant) {
         let Some(oldest) = now.checked_sub(self.retention) else {
             return;
         };
-        if now - self.swept_at < self.retention / SWEEPS_IN_RETENTION {
+        if now - self.swept_at < self.retention / SWEEPS_PER_RETENTION {
             return;
         }
         self.swept_at = now;
--- a/crates/memory-store/src/settings.rs
+++ b/crates/memory-store/src/settings.rs
@@ -1,19 +1,19 @@
-//! Bounds of a store in memory.
+//! Settings of an in-memory store.
 
 use std::time::Duration;
 
 use thiserror::Error;
 
-/// Bounds of a store in memory.
+/// Retention, page sizes and size limit of an in-memory store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MemoryStoreSettings {
-    /// Time for which records of the log are kept at least, and removals of names in directories.
+    /// Minimum time for which records of the log and removals from directories are retained.
     pub retention: Duration,
-    /// Most bytes of records that one read answers; a larger record is answered by itself.
+    /// Maximum size of the records that one read returns, in bytes; a larger record is returned alone.
     pub read_page_bytes: usize,
-    /// Most entries in one page of a listing.
+    /// Maximum number of entries in one page of a listing.
     pub listing_page_entries: usize,
-    /// Most bytes of records that the log holds; appends beyond them are refused.
+    /// Maximum total size of the records in the log, in bytes; appends that exceed it are rejected.
     pub most_bytes: usize,
 }
 
@@ -28,26 +28,26 @@
     }
 }
 
-/// A bound that cannot be used.
+/// Error: a setting is out of range.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-#[error("{key} is {value}, allowed is {allowed}")]
+#[error("setting {key} is {value}, but must be {allowed}")]
 pub struct InvalidStoreSetting {
-    /// The setting.
+    /// Field of [`MemoryStoreSettings`] that is out of range.
     pub key: &'static str,
-    /// Its value.
+    /// The rejected value, formatted.
     pub value: String,
-    /// What is allowed.
+    /// Allowed range, in words.
     pub allowed: &'static str,
 }
 
 impl MemoryStoreSettings {
-    /// Checks every bound against its range.
+    /// Checks that every setting is in its range; returns the first one that isn't.
     pub fn validate(&self) -> Result<(), InvalidStoreSetting> {
         if self.retention.is_zero() {
             return Err(InvalidStoreSetting {
                 key: "retention",
                 value: format!("{:?}", self.retention),
-                allowed: "more than no time",
+                allowed: "longer than zero",
             });
         }
         let counts = [
--- a/crates/memory-store/src/store.rs
+++ b/crates/memory-store/src/store.rs
@@ -1,4 +1,4 @@
-//! The store: its state, and the gateway's traits over it.
+//! The in-memory store, which implements the gateway's store traits.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -17,12 +17,12 @@
 use crate::records::Records;
 use crate::settings::{InvalidStoreSetting, MemoryStoreSettings};
 
-/// A store in the memory of this process, shared by all gateways in it.
+/// Shared log, checkpoints and directories in memory, shared by all gateways of the process.
 #[derive(Debug)]
 pub struct MemoryStore {
     settings: MemoryStoreSettings,
     state: Mutex<State>,
-    /// Wakes the reads that wait, at each append and each entry of a directory.
+    /// Wakes waiting reads after each append and each written directory entry.
     changed: Notify,
 }
 
@@ -51,7 +51,7 @@
 }
 
 impl MemoryStore {
-    /// An empty store.
+    /// Creates an empty store. Returns an error if a setting is out of range.
     pub fn new(settings: MemoryStoreSettings) -> Result<Self, InvalidStoreSetting> {
         settings.validate()?;
         let state = State {
@@ -67,19 +67,20 @@
         })
     }
 
-    /// Writes an entry of a directory in place of the one of its name; answers its offset there.
+    /// Writes a directory entry, which replaces an older one of the same name, and returns its offset in the directory.
     pub fn write_entry(&self, kind: DirectoryKind, entry: DirectoryEntry) -> u64 {
         let now = Instant::now();
         let mut state = self.lock();
         let directory = state.directory_mut(kind);
-        directory.forget_removals(self.settings.retention, now);
+        directory.discard_old_removals(self.settings.retention, now);
         let offset = directory.write(entry, now);
         drop(state);
         self.changed.notify_waiters();
         offset
     }
 
-    /// Appends records to a partition, all or none.
+    /// Appends records to a partition atomically. Returns [`LogError::Refused`] with status 507 if the log would exceed
+    /// its size limit.
     pub fn append_now(
         &self,
         partition: StreamPartition,
@@ -93,12 +94,12 @@
         Ok(appended)
     }
 
-    /// Drops the records of a partition before an offset, as if they were past their retention.
+    /// Drops the records of a partition before an offset, as if they had expired.
     pub fn drop_before(&self, partition: StreamPartition, offset: u64) {
         self.lock().records.drop_before(partition, offset);
     }
 
-    /// The value of a checkpoint, if there is one.
+    /// Returns the value of a checkpoint; `None` if it was never saved.
     pub fn checkpoint(&self, name: &str) -> Option<Bytes> {
         self.lock().checkpoints.get(name).cloned()
     }
@@ -107,25 +108,28 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Looks until there is something new or the time is over, and answers the last look.
-    async fn look_until_new<T>(
+    /// Reads the state until `is_new` accepts the result or `wait` is over, and returns the last result.
+    async fn read_until_new<T>(
         &self,
         wait: Duration,
-        look: impl Fn(&State) -> Result<T, LogError>,
+        read_state: impl Fn(&State) -> Result<T, LogError>,
         is_new: impl Fn(&T) -> bool,
     ) -> Result<T, LogError> {
-        let until = Instant::now() + wait;
+        let deadline = Instant::now() + wait;
         loop {
             let changed = self.changed.notified();
             tokio::pin!(changed);
-            // Before the look, so that no change between look and wait is missed.
+            // Registers for changes before the read, so that no change between read and wait is missed.
             changed.as_mut().enable();
-            let found = look(&self.lock())?;
+            let found = read_state(&self.lock())?;
             if is_new(&found) {
                 return Ok(found);
             }
-            if havenstage_clock::timeout_at(until, changed).await.is_err() {
-                return look(&self.lock());
+            if havenstage_clock::timeout_at(deadline, changed)
+                .await
+                .is_err()
+            {
+                return read_state(&self.lock());
             }
         }
     }
@@ -147,8 +151,8 @@
         from: u64,
         wait: Duration,
     ) -> Result<LogPage, LogError> {
-        let look = |state: &State| state.records.read(partition, from);
-        self.look_until_new(wait, look, |page| !page.records.is_empty())
+        let read_state = |state: &State| state.records.read(partition, from);
+        self.read_until_new(wait, read_state, |page| !page.records.is_empty())
             .await
     }
 }
@@ -172,8 +176,8 @@
         kind: DirectoryKind,
         after: Option<&str>,
     ) -> Result<ListingPage, LogError> {
-        let most_entries = self.settings.listing_page_entries;
-        Ok(self.lock().directory(kind).list(after, most_entries))
+        let max_entries = self.settings.listing_page_entries;
+        Ok(self.lock().directory(kind).list(after, max_entries))
     }
 
     async fn changes(
@@ -181,10 +185,10 @@
         kind: DirectoryKind,
         from: u64,
         wait: Duration,
-        most_bytes: u32,
+        max_bytes: u32,
     ) -> Result<DirectoryPage, LogError> {
-        let look = |state: &State| state.directory(kind).changes(from, most_bytes);
-        self.look_until_new(wait, look, |page| !page.entries.is_empty())
+        let read_state = |state: &State| state.directory(kind).changes(from, max_bytes);
+        self.read_until_new(wait, read_state, |page| !page.entries.is_empty())
             .await
     }
 }
--- a/crates/memory-store/tests/bounds.rs
+++ b/crates/memory-store/tests/bounds.rs
@@ -1,4 +1,4 @@
-//! What the store in memory keeps, and for how long.
+//! Retention, size limits and pages of the in-memory store.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use havenstage_rollout::ids::{BackendName, ZoneName};
 
 const RETENTION: Duration = Duration::from_secs(10);
-const ALL_CHANGES: u32 = 256 * 1024;
+const CHANGES_MAX_BYTES: u32 = 256 * 1024;
 
 const fn batches(partition: u32) -> StreamPartition {
     StreamPartition {
@@ -34,7 +34,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn records_past_their_retention_are_dropped_in_all_partitions() {
+async fn expired_records_are_dropped_in_all_partitions() {
     let store = store(|_| {});
     store
         .append_now(batches(0), vec![bytes(1), bytes(1)])
@@ -50,17 +50,17 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_full_store_refuses_whole_appends_until_old_records_are_dropped() {
+async fn a_full_store_rejects_whole_appends_until_expired_records_are_dropped() {
     let store = store(|settings| settings.most_bytes = 10);
     store.append_now(batches(0), vec![bytes(8)]).unwrap();
-    let refused = store.append_now(batches(1), vec![bytes(1), bytes(2)]);
-    let error = refused.unwrap_err();
+    let rejected = store.append_now(batches(1), vec![bytes(1), bytes(2)]);
+    let error = rejected.unwrap_err();
     assert!(
         error.is_not_done() && error == LogError::Refused(507),
         "{error}"
     );
     let page = store.read(batches(1), 0, Duration::ZERO).await.unwrap();
-    assert_eq!(page.end, 0, "none of the records was taken");
+    assert_eq!(page.end, 0, "none of the records was appended");
     tokio::time::advance(RETENTION + Duration::from_millis(1)).await;
     store
         .append_now(batches(1), vec![bytes(1), bytes(2)])
@@ -68,7 +68,7 @@
 }
 
 #[tokio::test]
-async fn a_read_answers_a_bounded_page_and_at_least_one_record() {
+async fn a_read_returns_a_bounded_page_with_at_least_one_record() {
     let store = store(|settings| settings.read_page_bytes = 10);
     let records = vec![bytes(20), bytes(4), bytes(6), bytes(1)];
     store.append_now(batches(0), records).unwrap();
@@ -86,16 +86,17 @@
     })
 }
 
-/// A reader that was away for longer than removals are kept must list anew, as it would keep the back end.
+/// A reader that has read nothing for longer than the retention must list the directory again: it may have missed a
+/// removal and would keep the removed back end.
 #[tokio::test(start_paused = true)]
-async fn a_forgotten_removal_is_told_as_dropped_history() {
+async fn a_discarded_removal_is_reported_as_dropped_history() {
     let store = store(|_| {});
     store.write_entry(DirectoryKind::Backends, removal("a"));
     tokio::time::advance(RETENTION + Duration::from_millis(1)).await;
     store.write_entry(DirectoryKind::Backends, removal("b"));
     let changes = async |from| {
         let kind = DirectoryKind::Backends;
-        let page = store.changes(kind, from, Duration::ZERO, ALL_CHANGES);
+        let page = store.changes(kind, from, Duration::ZERO, CHANGES_MAX_BYTES);
         page.await.map(|page| (page.entries.len(), page.next))
     };
     let dropped = LogError::HistoryDropped { first: 1 };
@@ -104,7 +105,7 @@
 }
 
 #[tokio::test]
-async fn changes_of_the_operators_directory_tell_the_newest_entry_of_each_name() {
+async fn changes_of_the_operators_directory_contain_the_newest_entry_of_each_name() {
     let store = store(|_| {});
     let evacuation = |zone: &str, is_requested| DirectoryEntry::Evacuation {
         zone: ZoneName::from(zone),
@@ -118,10 +119,10 @@
     let offsets = entries.map(|entry| store.write_entry(DirectoryKind::Operators, entry));
     assert_eq!(offsets, [0, 1, 2]);
     let kind = DirectoryKind::Operators;
-    let page = store.changes(kind, 0, Duration::ZERO, ALL_CHANGES);
+    let page = store.changes(kind, 0, Duration::ZERO, CHANGES_MAX_BYTES);
     let page = page.await.unwrap();
     assert_eq!((page.next, page.remaining), (3, 0));
-    let told: Vec<(&str, bool)> = page
+    let evacuations: Vec<(&str, bool)> = page
         .entries
         .iter()
         .filter_map(|entry| match entry {
@@ -131,12 +132,12 @@
             _ => None,
         })
         .collect();
-    assert_eq!(told, [("b", true), ("a", false)]);
+    assert_eq!(evacuations, [("b", true), ("a", false)]);
 }
 
 #[test]
-fn bounds_of_nothing_are_refused_by_name() {
-    let refused = |settings: MemoryStoreSettings| {
+fn zero_settings_are_rejected_by_name() {
+    let rejected = |settings: MemoryStoreSettings| {
         let InvalidStoreSetting { key, .. } = MemoryStore::new(settings).unwrap_err();
         key
     };
@@ -165,5 +166,5 @@
         "listing_page_entries",
         "most_bytes",
     ];
-    assert_eq!(cases.map(refused), keys);
+    assert_eq!(cases.map(rejected), keys);
 }
--- a/crates/memory-store/tests/contract.rs
+++ b/crates/memory-store/tests/contract.rs
@@ -1,4 +1,4 @@
-//! The store in memory keeps what the gateway relies on in any store.
+//! Runs the gateway's store contract tests against the in-memory store.
 
 #[path = "../../gateway/tests/support/store_contract.rs"]
 mod store_contract;
