--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -22,6 +22,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use tokio::sync::{Notify, Semaphore, watch};
 
+use crate::accept_health::AcceptHealth;
 use crate::backends::Backends;
 use crate::batch_partitions::{BatchPartitions, BatchView};
 use crate::counted_log::CountedLog;
@@ -32,7 +33,6 @@
     SharedLog, StreamPartition,
 };
 use crate::held_answers::HeldAnswers;
-use crate::intake::Intake;
 use crate::lease_grant::LeaseGrant;
 use crate::metering::UsageCounter;
 use crate::operations::OperationsApi;
@@ -147,7 +147,7 @@
     /// Answers that callers have not received completely yet, and their memory.
     pub answers: Arc<HeldAnswers>,
     /// Whether callers' connections can be accepted.
-    pub intake: Intake,
+    pub accept_health: AcceptHealth,
     /// Connections to other nodes, and this node's own address for them.
     pub peers: Peers,
     pub(crate) crash_guard: CrashGuard,
@@ -231,7 +231,7 @@
             control_read_at: OnceLock::new(),
             participation: watch::Sender::new(false),
             answers,
-            intake: Intake::default(),
+            accept_health: AcceptHealth::default(),
             peers: Peers::default(),
             crash_guard: CrashGuard::default(),
             watched_sends: WatchedSends::default(),
--- a/crates/gateway/src/engine/heartbeat.rs
+++ b/crates/gateway/src/engine/heartbeat.rs
@@ -13,7 +13,7 @@
 use super::Engine;
 use super::leases::{HeldBatch, open_ids};
 use crate::context::{CONTROL, OCCUPANCY};
-use crate::log_writes::append_repeated;
+use crate::log_writes::append_or_warn;
 
 /// Time after which unchanged occupancy is reported again: well below the age up to which a report counts.
 const OCCUPANCY_REFRESH_MS: Millis = 1_000;
@@ -59,7 +59,7 @@
         };
         let (context, is_sending) = (self.context.clone(), self.heartbeats.is_sending.clone());
         tokio::spawn(async move {
-            append_repeated(context, CONTROL, record).await;
+            append_or_warn(context, CONTROL, record).await;
             is_sending.store(false, Ordering::Release);
         });
     }
@@ -85,7 +85,7 @@
             node: node.clone(),
             address,
         };
-        tokio::spawn(append_repeated(self.context.clone(), CONTROL, record));
+        tokio::spawn(append_or_warn(self.context.clone(), CONTROL, record));
     }
 
     /// Names of the routes of the held batches, so that new batches of these routes are submitted to this node;
@@ -142,7 +142,7 @@
         }
         self.heartbeats.occupancy_at = now;
         self.heartbeats.last_occupancy = Some(record.clone());
-        tokio::spawn(append_repeated(self.context.clone(), OCCUPANCY, record));
+        tokio::spawn(append_or_warn(self.context.clone(), OCCUPANCY, record));
     }
 }
 
--- a/crates/gateway/tests/suspended.rs
+++ b/crates/gateway/tests/suspended.rs
@@ -37,7 +37,12 @@
     let context = node.context().clone();
     let (before, after) = node
         .run_on_node_thread(move || {
-            let observe = || (context.write_by(&"batch".into()).is_some(), context.now());
+            let observe = || {
+                (
+                    context.write_deadline(&"batch".into()).is_some(),
+                    context.now(),
+                )
+            };
             let before = observe();
             suspension::suspend_this_thread(SUSPENDED);
             (before, (observe(), context.contact_age()))
@@ -106,7 +111,7 @@
     tokio::time::sleep(Duration::from_millis(300)).await;
     let late = Duration::from_millis(300);
     node.set_faults(LogFaults {
-        late_answers_to_orders: late,
+        order_answer_delay: late,
         ..LogFaults::default()
     });
     let named = DirectoryEntry::NamedVersion {
