--- a/crates/clock/src/time_of_day.rs
+++ b/crates/clock/src/time_of_day.rs
@@ -9,7 +9,7 @@
 
 use crate::Instant;
 
-/// Milliseconds since the Unix epoch.
+/// Milliseconds since the Unix epoch (the beginning of 1970).
 pub type UnixMillis = u64;
 
 /// Largest change of the offset that is adopted at once, as a correction of the clock, in milliseconds.
--- a/crates/clock/tests/system_clocks.rs
+++ b/crates/clock/tests/system_clocks.rs
@@ -15,14 +15,14 @@
         last = now;
     }
     std::thread::sleep(Duration::from_millis(50));
-    let (elapsed, monotonic) = (start.elapsed(), monotonic.elapsed());
+    let (advanced, monotonic) = (start.elapsed(), monotonic.elapsed());
     let suspended = suspended() - before;
     assert!(
-        elapsed <= monotonic + suspended,
-        "{elapsed:?} vs monotonic {monotonic:?}"
+        advanced <= monotonic + suspended,
+        "{advanced:?} vs monotonic {monotonic:?}"
     );
     assert!(
-        elapsed + Duration::from_millis(5) >= monotonic,
-        "{elapsed:?} vs monotonic {monotonic:?}"
+        advanced + Duration::from_millis(5) >= monotonic,
+        "{advanced:?} vs monotonic {monotonic:?}"
     );
 }
--- a/crates/http-link/tests/silence.rs
+++ b/crates/http-link/tests/silence.rs
@@ -266,7 +266,7 @@
     tokio::time::sleep(Duration::from_millis(20)).await;
     let new_connection_options =
         SendOptions::within(TIMEOUT).over_connection_active_since(Instant::now());
-    let traffic = async {
+    let new_connection_traffic = async {
         loop {
             let mut request = request();
             *request.uri_mut() = "/soon".parse().unwrap();
@@ -283,7 +283,7 @@
         assert!(began.elapsed() < 2 * TIMEOUT, "{:?}", began.elapsed());
     };
     tokio::select! {
-        () = traffic => {}
+        () = new_connection_traffic => {}
         () = silence_found => {}
     }
     assert_eq!(long_poll.await.unwrap(), Some(LinkError::Silent));
