--- a/crates/gateway/src/edge.rs
+++ b/crates/gateway/src/edge.rs
@@ -433,7 +433,7 @@
         }
     }
 
-    /// Milliseconds since the start of the process, plus 1,000.
+    /// Milliseconds since the clock was started, plus 1,000.
     pub fn now(&self) -> Millis {
         self.start.elapsed().as_millis() as Millis
     }
--- a/crates/gateway/src/fingerprint.rs
+++ b/crates/gateway/src/fingerprint.rs
@@ -12,7 +12,7 @@
 /// Context string of the key derivation, which separates these hashes from other hashes of the same bytes.
 const HASH_CONTEXT: &str = "havenstage gateway 2026 request fingerprint";
 /// Length of a fingerprint. With 16 bytes a collision by chance is expected only among some 2^64 requests, and nobody
-/// can choose a body whose fingerprint equals that of somebody else's request.
+/// can construct a body whose fingerprint equals that of another caller's request.
 const FINGERPRINT_BYTES: usize = 16;
 
 /// The fingerprint of a caller's request.
