--- a/crates/gateway/src/engine/reward.rs
+++ b/crates/gateway/src/engine/reward.rs
@@ -75,7 +75,7 @@
     let mut failures = 0;
     loop {
         // Once the end of a batch is in force, no reward call may be made for it, as no item may be run.
-        context.until_work_may_start(batch).await;
+        context.wait_until_work_may_start(batch).await;
         match attempt_call(context, batch, reward, &mut failures).await {
             AttemptOutcome::Scored(score) => return ScoreEnd::Score(score),
             AttemptOutcome::AttemptsUsed => return ScoreEnd::AttemptsUsed,
