--- a/crates/http-link/src/lib.rs
+++ b/crates/http-link/src/lib.rs
@@ -1,13 +1,13 @@
-//! Kept HTTP/1.1 connections to one address, with errors that say whether a request can have
-//! reached the server. Dropping an answer before its end closes its connection, which cancels the
-//! request at a server that watches for that.
+//! A pool of persistent HTTP/1.1 connections to one address. Its errors say whether the server may have acted on
+//! the request. Dropping an answer before its end closes its connection, which cancels the request at a server that
+//! detects closed connections.
 
 mod answer;
 mod connection;
 mod error;
 mod link;
 mod probe;
-mod sending;
+mod send_options;
 mod silence;
 
 pub use answer::{Answer, WholeAnswer};
@@ -15,4 +15,4 @@
 pub use error::LinkError;
 pub use link::{Link, LinkSettings, LinkTraffic};
 pub use probe::{OpenProbe, Probe};
-pub use sending::Sending;
+pub use send_options::SendOptions;
