--- a/crates/placement/src/admission/advance.rs
+++ b/crates/placement/src/admission/advance.rs
@@ -1,4 +1,5 @@
-//! How the queue of one engine moves: what is granted, refused or preempted after each event.
+//! Queue processing of one engine: which requests are granted, refused or preempted after each
+//! event.
 
 use std::time::Duration;
 
@@ -15,12 +16,12 @@
 use super::queue::QueuedRequest;
 use super::refusals;
 
-/// How long after its grant a permit may be used to dispatch.
+/// Time after its grant within which a permit must be used to dispatch the request.
 pub const DISPATCH_WINDOW: Duration = Duration::from_secs(1);
 
 impl EngineAdmission {
-    /// Brings the queue forward: grants what fits, then refuses what cannot wait, then lets
-    /// training give way to the live work that is left.
+    /// Processes the queue: grants the requests that fit, refuses those that exceed the queue
+    /// limit or their maximum wait, then preempts training for the live requests that remain.
     pub(super) fn advance(&mut self, now: Moment) -> Vec<AdmissionAction> {
         let mut actions = Vec::new();
         if self.health.is_stopped() {
@@ -28,30 +29,31 @@
         }
         self.grant_from_queue(now, &mut actions);
         self.refuse_overflow(&mut actions);
-        self.refuse_impatient(now, &mut actions);
+        self.refuse_expired(now, &mut actions);
         self.preempt_for_live(&mut actions);
         actions
     }
 
     fn grant_from_queue(&mut self, now: Moment, actions: &mut Vec<AdmissionAction>) {
         while let Some(first) = self.queue.first() {
-            let hopeless = self.hopeless(&first.request);
-            if hopeless.is_none() && !self.fits(&first.request) {
+            let permanent_refusal = self.permanent_refusal(&first.request);
+            if permanent_refusal.is_none() && !self.fits(&first.request) {
                 return;
             }
             let Some(entry) = self.queue.pop_first() else {
                 return;
             };
-            actions.push(match hopeless {
+            actions.push(match permanent_refusal {
                 Some(refusal) => self.refuse(entry.request.attempt, refusal),
                 None => AdmissionAction::Grant(self.grant(now, &entry)),
             });
         }
     }
 
-    /// Why the request can never run here as things stand, if so.
-    fn hopeless(&self, request: &AdmitRequest) -> Option<Refusal> {
-        // An engine without a known version is older than any bound.
+    /// The refusal for a request that could not run even on an idle engine: its version bound is
+    /// above the engine's current version, or its projected KV use exceeds the whole budget.
+    fn permanent_refusal(&self, request: &AdmitRequest) -> Option<Refusal> {
+        // `None` sorts before `Some`: an engine without a known version is older than any bound.
         if self.version < request.oldest_version {
             return Some(refusals::version_too_old());
         }
@@ -63,22 +65,25 @@
 
     fn fits(&self, request: &AdmitRequest) -> bool {
         let kv_tokens = self.kv.projected_tokens(request, &self.limits);
-        self.health.admits_one_more()
+        self.health.can_admit()
             && self.permits.running() < self.limits.max_running
             && self.permits.kv_tokens() + kv_tokens <= self.kv_budget_tokens()
-            && (request.class.is_live() || self.training_fits())
+            && (request.class.is_live() || self.has_room_for_training())
             && !self.is_better_elsewhere(request)
     }
 
+    /// Whether a live request that does not wait should use another engine because this one is
+    /// about to stop serving while it loads a version.
     fn is_better_elsewhere(&self, request: &AdmitRequest) -> bool {
-        let may_ask_others = request.patience.is_zero();
-        self.swapping_to.is_some() && request.class.is_live() && may_ask_others
+        let can_try_elsewhere = request.patience.is_zero();
+        self.swapping_to.is_some() && request.class.is_live() && can_try_elsewhere
     }
 
-    /// Training keeps off the live reserve, and off an engine under KV pressure unless it is empty.
-    fn training_fits(&self) -> bool {
-        let pressed = self.kv.is_under_pressure(&self.limits) && self.permits.running() > 0;
-        self.permits.training() < self.limits.training_slots() && !pressed
+    /// Whether one more training request may run: outside the live reserve, and under KV pressure
+    /// only on an engine that runs nothing.
+    fn has_room_for_training(&self) -> bool {
+        let has_pressure = self.kv.is_under_pressure(&self.limits) && self.permits.running() > 0;
+        self.permits.training() < self.limits.training_slots() && !has_pressure
     }
 
     fn grant(&mut self, now: Moment, entry: &QueuedRequest) -> Permit {
@@ -102,7 +107,7 @@
             generation: self.health.generation(),
             preempted: false,
         });
-        self.health.granted(now, request.attempt);
+        self.health.record_grant(now, request.attempt);
         permit
     }
 
@@ -115,15 +120,15 @@
         }
     }
 
-    fn refuse_impatient(&mut self, now: Moment, actions: &mut Vec<AdmissionAction>) {
-        for attempt in self.queue.given_up(now) {
+    fn refuse_expired(&mut self, now: Moment, actions: &mut Vec<AdmissionAction>) {
+        for attempt in self.queue.expired(now) {
             self.queue.remove(attempt);
             actions.push(self.refuse_overloaded(attempt));
         }
     }
 
     fn preempt_for_live(&mut self, actions: &mut Vec<AdmissionAction>) {
-        if !self.limits.preempt || !self.health.admits_one_more() || self.health.is_recovering() {
+        if !self.limits.preempt || !self.health.can_admit() || self.health.is_recovering() {
             return;
         }
         let (waiting, waiting_kv) = self.queue.live().fold((0, 0), |(count, kv), entry| {
@@ -142,14 +147,16 @@
         }
     }
 
-    pub(super) fn learn_from_end(
+    /// Updates the health of the engine from the end of a permit. Opens the circuit breaker when
+    /// too many attempts in a row could not reach the engine.
+    pub(super) fn record_end(
         &mut self,
         held: &HeldPermit,
         end: ReleaseReason,
         actions: &mut Vec<AdmissionAction>,
     ) {
         let successes = self.limits.recovery_successes;
-        self.health.ended(held, Some(end), successes);
+        self.health.record_end(held, Some(end), successes);
         if end != ReleaseReason::EngineUnreachable {
             return;
         }
@@ -165,12 +172,12 @@
         }
     }
 
-    /// Ends a permit of which nobody will tell how it ended.
-    pub(super) fn end_without_news(&mut self, now: Moment, attempt: AttemptId) {
+    /// Ends a permit whose outcome will never be reported: it expired or its holder died.
+    pub(super) fn end_without_outcome(&mut self, now: Moment, attempt: AttemptId) {
         self.recently_ended.insert(now, attempt);
         if let Some(held) = self.permits.remove(attempt) {
             self.health
-                .ended(&held, None, self.limits.recovery_successes);
+                .record_end(&held, None, self.limits.recovery_successes);
         }
     }
 
--- a/crates/placement/src/admission/engine.rs
+++ b/crates/placement/src/admission/engine.rs
@@ -1,4 +1,4 @@
-//! The state machine of one engine's admission.
+//! The admission state machine of one engine.
 
 use havenstage_types::clock::Moment;
 use havenstage_types::decision::EngineStopReason;
@@ -16,10 +16,11 @@
 use super::refusals;
 use super::release_rate::ReleaseRate;
 
-/// Admission at the home of one engine.
+/// Admission control of one engine, run by the engine's home node.
 ///
-/// Every ask gets exactly one [`AdmissionAction::Grant`] or [`AdmissionAction::Refuse`], at once or
-/// later; an ask repeated while the first one waits shares its answer.
+/// Every admission request gets exactly one [`AdmissionAction::Grant`] or
+/// [`AdmissionAction::Refuse`], immediately or later. A request repeated while the first one is
+/// queued shares its answer.
 #[derive(Debug, Clone)]
 pub struct EngineAdmission {
     pub(super) engine: EngineName,
@@ -32,12 +33,12 @@
     pub(super) recently_ended: RecentlyEnded,
     pub(super) release_rate: ReleaseRate,
     pub(super) grants: u64,
-    /// Version that was ordered and is not reported yet.
+    /// Version that the engine was ordered to load and has neither reported nor failed to load.
     pub(super) swapping_to: Option<VersionNumber>,
 }
 
 impl EngineAdmission {
-    /// An engine nobody has heard of yet, without work.
+    /// Creates the state of an engine that has not reported yet and has no work.
     pub fn new(engine: EngineName, limits: AdmissionLimits) -> Self {
         Self {
             engine,
@@ -54,20 +55,20 @@
         }
     }
 
-    /// Replaces the limits. Work that runs is not cut off when they shrink.
+    /// Replaces the limits. Running work continues when the limits shrink.
     pub fn set_limits(&mut self, now: Moment, limits: AdmissionLimits) -> Vec<AdmissionAction> {
         self.limits = limits;
         self.advance(now)
     }
 
-    /// Grants, queues or refuses a request. Asking again with an attempt that holds a permit gives
-    /// the same permit.
+    /// Grants, queues or refuses a request. A repeated request of an attempt that holds a permit
+    /// gets the same permit.
     pub fn admit(&mut self, now: Moment, request: AdmitRequest) -> Vec<AdmissionAction> {
         if let Some(held) = self.permits.get(request.attempt) {
             return vec![AdmissionAction::Grant(held.permit.clone())];
         }
         if self.recently_ended.contains(request.attempt) {
-            return vec![self.refuse(request.attempt, refusals::ask_ended())];
+            return vec![self.refuse(request.attempt, refusals::request_ended())];
         }
         if self.health.is_stopped() {
             return vec![self.refuse(request.attempt, self.stopped_refusal())];
@@ -79,77 +80,79 @@
         self.advance(now)
     }
 
-    /// Ends a permit, or an ask that still waits. Unknown attempts are remembered, in case their
-    /// ask is still on the way.
+    /// Ends a permit or a queued request. Unknown attempts are remembered too, because their
+    /// admission request may still be in flight.
     pub fn release(&mut self, now: Moment, request: &ReleaseRequest) -> Vec<AdmissionAction> {
         self.recently_ended.insert(now, request.attempt);
         let mut actions = Vec::new();
         if self.queue.remove(request.attempt).is_some() {
-            actions.push(self.refuse(request.attempt, refusals::ask_ended()));
+            actions.push(self.refuse(request.attempt, refusals::request_ended()));
         }
         if let Some(held) = self.permits.remove(request.attempt) {
             self.release_rate.record(now);
             if let Some(tokens) = request.generated_tokens.filter(|_| !held.is_live) {
                 self.observe_training_length(tokens);
             }
-            self.learn_from_end(&held, request.end, &mut actions);
+            self.record_end(&held, request.end, &mut actions);
         }
         actions.extend(self.advance(now));
         actions
     }
 
-    /// Ends waits whose patience has passed and permits that are too old. Call it a few times a
-    /// second.
+    /// Refuses queued requests whose maximum wait has passed and ends permits older than
+    /// [`AdmissionLimits::max_permit_age`]. Called a few times a second.
     pub fn tick(&mut self, now: Moment) -> Vec<AdmissionAction> {
-        self.recently_ended.forget_old(now);
+        self.recently_ended.remove_expired(now);
         let max_age_ms = self.limits.max_permit_age.as_millis() as u64;
         if let Some(oldest) = now.0.checked_sub(max_age_ms) {
-            for attempt in self.permits.granted_until(Moment(oldest)) {
-                self.end_without_news(now, attempt);
+            for attempt in self.permits.granted_at_or_before(Moment(oldest)) {
+                self.end_without_outcome(now, attempt);
             }
         }
         self.advance(now)
     }
 
-    /// Notes that a version was ordered on the engine. Until the engine reports it, or reports that
-    /// the swap failed, live work that does not want to wait is sent elsewhere: the engine will
-    /// stand still while it loads.
+    /// Records that the engine was ordered to load `version`. Until the engine reports that version
+    /// or a failed swap, live requests with zero `patience` are not granted, so that they try
+    /// another engine: an engine serves nothing while it loads.
     pub fn swap_ordered(&mut self, version: VersionNumber) {
         self.swapping_to = Some(version);
     }
 
-    /// Takes in what the engine reports about itself.
+    /// Applies a load report of the engine: its version, KV use, boot id and whether it is leaving.
+    /// A report also closes the circuit breaker.
     pub fn report(&mut self, now: Moment, report: &LoadReport) -> Vec<AdmissionAction> {
         let mut actions = Vec::new();
         self.version = report.version;
-        let ended =
+        let has_ended =
             |version| report.version >= Some(version) || report.failed_swap == Some(version);
-        if self.swapping_to.is_some_and(ended) {
+        if self.swapping_to.is_some_and(has_ended) {
             self.swapping_to = None;
         }
         self.kv.observe_report(report);
-        self.health.reached();
+        self.health.record_contact();
         if self.health.observe_boot(report.boot) {
             self.health.begin_recovery(self.limits.recovery_successes);
         } else if !self.kv.is_under_pressure(&self.limits) {
-            self.health.good_report(now);
+            self.health.record_healthy_report(now);
         }
         if self.health.is_stopped_by(EngineStopReason::Unreachable) {
             self.health.begin_recovery(self.limits.recovery_successes);
             actions.extend(self.resume(now, EngineStopReason::Unreachable));
         }
-        let by_report = if report.leaving {
+        let stop_or_resume = if report.leaving {
             self.stop(now, EngineStopReason::EngineReport)
         } else {
             self.resume(now, EngineStopReason::EngineReport)
         };
-        actions.extend(by_report);
+        actions.extend(stop_or_resume);
         actions.extend(self.advance(now));
         actions
     }
 
-    /// Counts a failed try of the home to get a report. After a number of failures in a row the
-    /// engine is stopped as unreachable, until a report comes.
+    /// Counts a failed attempt of the home node to fetch a report. After
+    /// [`AdmissionLimits::unreachable_failures`] failures in a row the engine is stopped as
+    /// unreachable until it reports again.
     pub fn unreachable(&mut self, now: Moment) -> Vec<AdmissionAction> {
         if self
             .health
@@ -160,13 +163,13 @@
         Vec::new()
     }
 
-    /// Takes in the number of tokens a finished training request generated, so that the projected
-    /// KV use of the next ones fits.
+    /// Records the number of tokens that a finished training request generated. The projected KV
+    /// use of later training requests is based on it.
     pub fn observe_training_length(&mut self, generated_tokens: u32) {
         self.kv.observe_training_length(generated_tokens);
     }
 
-    /// Gives the engine no more new work and refuses what waits; what runs may finish.
+    /// Stops new work for the engine and refuses the queued requests. Running requests may finish.
     pub fn stop(&mut self, _now: Moment, reason: EngineStopReason) -> Vec<AdmissionAction> {
         if !self.health.stop(reason) {
             return Vec::new();
@@ -176,7 +179,7 @@
         actions
     }
 
-    /// Takes back one reason to stop; the engine gets work again when no other is left.
+    /// Removes one stop reason. The engine receives work again when no other reason is left.
     pub fn resume(&mut self, now: Moment, reason: EngineStopReason) -> Vec<AdmissionAction> {
         if !self.health.resume(reason) {
             return Vec::new();
@@ -186,61 +189,61 @@
         actions
     }
 
-    /// Ends all permits and asks of a node that is dead.
+    /// Ends all permits and queued requests of a dead node.
     pub fn drop_holder(&mut self, now: Moment, node: NodeId) -> Vec<AdmissionAction> {
         let mut actions = Vec::new();
-        for attempt in self.queue.asked_by(node) {
+        for attempt in self.queue.requested_by(node) {
             self.queue.remove(attempt);
-            actions.push(self.refuse(attempt, refusals::ask_ended()));
+            actions.push(self.refuse(attempt, refusals::request_ended()));
         }
         for attempt in self.permits.held_by(node) {
-            self.end_without_news(now, attempt);
+            self.end_without_outcome(now, attempt);
         }
         actions.extend(self.advance(now));
         actions
     }
 
-    /// Requests running and queued.
+    /// Number of requests running and queued.
     pub fn load(&self) -> u32 {
         self.in_flight() + self.queued()
     }
 
-    /// Permits held.
+    /// Number of permits held, which is the number of running requests.
     pub fn in_flight(&self) -> u32 {
         self.permits.running()
     }
 
-    /// Permits held by training work.
+    /// Number of permits held by training requests.
     pub fn training_in_flight(&self) -> u32 {
         self.permits.training()
     }
 
-    /// Requests waiting.
+    /// Number of requests in the queue.
     pub fn queued(&self) -> u32 {
         self.queue.len()
     }
 
-    /// KV tokens that the permits held are projected to use.
+    /// KV tokens that the requests with permits are projected to use together.
     pub fn kv_projected_tokens(&self) -> u64 {
         self.permits.kv_tokens()
     }
 
-    /// KV tokens that projected use may reach.
+    /// Upper bound of the projected KV use, in tokens.
     pub fn kv_budget_tokens(&self) -> u64 {
         self.kv.budget_tokens(&self.limits)
     }
 
-    /// Whether the engine gets no new work.
+    /// Whether the engine receives no new work.
     pub fn is_stopped(&self) -> bool {
         self.health.is_stopped()
     }
 
-    /// Whether work is admitted one at a time after a failure.
+    /// Whether requests are admitted one at a time because the engine failed or restarted.
     pub fn is_recovering(&self) -> bool {
         self.health.is_recovering()
     }
 
-    /// Version last reported.
+    /// Version that the engine last reported; `None` when it has reported none.
     pub fn version(&self) -> Option<VersionNumber> {
         self.version
     }
--- a/crates/placement/src/admission/limits.rs
+++ b/crates/placement/src/admission/limits.rs
@@ -1,4 +1,4 @@
-//! Limits that one engine's admission keeps.
+//! Limits that the admission of one engine enforces.
 
 use std::time::Duration;
 
@@ -9,47 +9,49 @@
 
 use crate::settings::InvalidSetting;
 
-/// How many tokens a training request is expected to generate.
+/// How the output length of a training request is projected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TrainingProjection {
-    /// A fixed share of its upper bound.
+    /// A fixed share of the request's upper bound.
     ShareOfBound,
-    /// The mean of the finished ones and twice their mean deviation.
+    /// The mean length of finished outputs plus twice their mean deviation.
     #[default]
     ObservedCautious,
-    /// The mean of the finished ones: many together need their mean, and the safety share covers
-    /// the rest.
+    /// The mean length of finished outputs: many requests together need their mean, and the safety
+    /// share of the KV cache covers deviations.
     ObservedMean,
 }
 
-/// Limits of one engine; taken from the operator's resources, the rest are defaults.
+/// Limits of one engine. Some come from the operator's pool and engine resources, the others have
+/// defaults.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AdmissionLimits {
     /// Pool of the engine; named in refusals.
     pub pool: PoolName,
-    /// Most requests running at once.
+    /// Maximum number of requests running at once.
     pub max_running: u32,
-    /// Most requests waiting, of all classes together.
+    /// Maximum number of queued requests, of all classes together.
     pub max_queued: u32,
-    /// Share of the slots, in percent, that training never takes.
+    /// Share of the slots, in percent, that training never occupies.
     pub live_reserve_percent: u8,
-    /// Tokens the engine's KV cache holds.
+    /// Capacity of the engine's KV cache, in tokens.
     pub kv_capacity_tokens: u64,
-    /// Share of the KV cache, in percent, that projected use never reaches into.
+    /// Share of the KV cache, in percent, that projected use leaves free.
     pub kv_safety_percent: u8,
     /// Share of a training request's upper bound, in percent, that it is expected to generate
-    /// until lengths of finished ones are known.
+    /// as long as no length of a finished request is known.
     pub expected_output_percent: u8,
     /// How the output of training requests is projected.
     pub training_projection: TrainingProjection,
-    /// Whether training gives way when live work waits.
+    /// Whether training requests are preempted when live requests are queued.
     pub preempt: bool,
     /// Whether queued training starts with the largest `max_new_tokens` instead of the oldest.
     pub longest_training_first: bool,
-    /// How long a permit may be held; a permit whose release was lost ends then.
+    /// Maximum age of a permit; ends permits whose release was lost.
     pub max_permit_age: Duration,
-    /// Successes, one at a time, that an engine needs after a failure before it is filled again.
+    /// Requests that must succeed one at a time after a failure before requests run concurrently
+    /// again.
     pub recovery_successes: u32,
     /// Failures to reach the engine in a row after which it counts as unreachable.
     pub unreachable_failures: u32,
@@ -89,7 +91,11 @@
 }
 
 impl AdmissionLimits {
-    /// Checks the ranges.
+    /// Checks the ranges of the limits.
+    ///
+    /// # Errors
+    ///
+    /// Returns the first setting that is outside its range.
     pub fn validate(&self) -> Result<(), InvalidSetting> {
         let percents = [
             ("admission.live_reserve_percent", self.live_reserve_percent),
@@ -117,8 +123,8 @@
         )
     }
 
-    /// Slots training may take: all but the live reserve, yet at least one unless the reserve is
-    /// the whole engine, since a one-slot engine would otherwise never train.
+    /// Number of slots that training may occupy: all but the live reserve, and at least one unless
+    /// the reserve is the whole engine, because a one-slot engine would otherwise never train.
     pub fn training_slots(&self) -> u32 {
         let share = 100 - u64::from(self.live_reserve_percent.min(100));
         if share == 0 {
--- a/crates/placement/src/admission/mod.rs
+++ b/crates/placement/src/admission/mod.rs
@@ -1,14 +1,16 @@
-//! Admission at the home of one engine: the one place that decides whether work may be sent to
-//! that engine, and so the one place that knows its load exactly.
+//! Admission control of one engine. It runs on the engine's home node, the only node that decides
+//! whether work may be sent to that engine and therefore the only one that knows its exact load.
 //!
-//! - Urgent work comes before live work and live work before training; first come, first served
-//!   within a class. A request that cannot start waits in the queue as long as its asker is ready
-//!   to wait, and is then refused as not run.
-//! - Running work stays within the engine's slots and within a budget of KV tokens, counted by
-//!   what each request may still grow to. Training leaves a share of the slots free and is
-//!   preempted when live work waits.
-//! - After a failure of the engine work is admitted one at a time until it has proved itself.
-//! - An engine that cannot be reached gets nothing until it reports again (a circuit breaker).
+//! - Urgent requests go before live ones and live ones before training; within a class the order is
+//!   first come, first served by default. A request that cannot start is queued for at most its
+//!   `patience` and is then refused as not run.
+//! - Running requests stay within the engine's slots and within a budget of KV tokens, counted by
+//!   their projected size at the end. Training leaves a share of the slots free and is preempted
+//!   when live requests are queued.
+//! - After a failure of the engine, requests are admitted one at a time until enough of them have
+//!   succeeded.
+//! - A circuit breaker stops all new work for an engine that cannot be reached until it reports
+//!   again.
 
 mod action;
 mod advance;
--- a/crates/placement/src/admission/permits.rs
+++ b/crates/placement/src/admission/permits.rs
@@ -1,4 +1,4 @@
-//! Permits given out and not yet ended.
+//! Permits that were granted and have not ended.
 
 use std::collections::BTreeMap;
 
@@ -6,22 +6,22 @@
 use havenstage_types::ids::{AttemptId, NodeId};
 use havenstage_types::peer::Permit;
 
-/// A permit with what the home counts for it.
+/// A permit with the resources that the home node accounts to it.
 #[derive(Debug, Clone)]
 pub(super) struct HeldPermit {
     pub permit: Permit,
     pub is_live: bool,
     pub kv_tokens: u64,
     pub granted_at: Moment,
-    /// Order among all grants of this home.
+    /// Position in the order of all grants of this engine.
     pub grant_sequence: u64,
-    /// Generation of the engine's health when it was granted.
+    /// Recovery generation of the engine when the permit was granted.
     pub generation: u64,
-    /// Whether its holder was asked to cancel.
+    /// Whether the holder was asked to cancel the work.
     pub preempted: bool,
 }
 
-/// All permits held, with running sums.
+/// All permits held, with the sums of their KV tokens and training slots.
 #[derive(Debug, Clone, Default)]
 pub(super) struct PermitTable {
     held: BTreeMap<AttemptId, HeldPermit>,
@@ -65,8 +65,7 @@
             .collect()
     }
 
-    /// Attempts whose permits were granted at or before `moment`.
-    pub fn granted_until(&self, moment: Moment) -> Vec<AttemptId> {
+    pub fn granted_at_or_before(&self, moment: Moment) -> Vec<AttemptId> {
         self.held
             .values()
             .filter(|held| held.granted_at <= moment)
--- a/crates/placement/src/admission/preemption.rs
+++ b/crates/placement/src/admission/preemption.rs
@@ -1,4 +1,4 @@
-//! Which training work gives way to waiting live work.
+//! Choice of the training requests that are preempted for queued live requests.
 
 use std::cmp::Reverse;
 
@@ -6,7 +6,7 @@
 
 use super::permits::{HeldPermit, PermitTable};
 
-/// Slots and KV tokens that the waiting live requests lack.
+/// Slots and KV tokens that are missing for the queued live requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Shortage {
     pub slots: u64,
@@ -14,8 +14,8 @@
 }
 
 impl Shortage {
-    /// What `waiting` more requests with `waiting_kv_tokens` together lack, when all permits now
-    /// held are counted but those already asked to give way.
+    /// Computes what is missing for `waiting` more requests that use `waiting_kv_tokens` together.
+    /// Permits already being preempted count as free.
     pub fn new(
         permits: &PermitTable,
         waiting: u32,
@@ -23,11 +23,11 @@
         max_running: u32,
         kv_budget: u64,
     ) -> Self {
-        let leaving = permits.values().filter(|held| held.preempted);
-        let (leaving_slots, leaving_kv) =
-            leaving.fold((0, 0), |(slots, kv), held| (slots + 1, kv + held.kv_tokens));
-        let wanted_slots = u64::from(permits.running()) - leaving_slots + u64::from(waiting);
-        let wanted_kv = permits.kv_tokens() - leaving_kv + waiting_kv_tokens;
+        let preempted = permits.values().filter(|held| held.preempted);
+        let (preempted_slots, preempted_kv) =
+            preempted.fold((0, 0), |(slots, kv), held| (slots + 1, kv + held.kv_tokens));
+        let wanted_slots = u64::from(permits.running()) - preempted_slots + u64::from(waiting);
+        let wanted_kv = permits.kv_tokens() - preempted_kv + waiting_kv_tokens;
         Self {
             slots: wanted_slots.saturating_sub(u64::from(max_running)),
             kv_tokens: wanted_kv.saturating_sub(kv_budget),
@@ -38,7 +38,7 @@
         self.slots == 0 && self.kv_tokens == 0
     }
 
-    fn covered_by(self, held: &HeldPermit) -> Self {
+    fn reduced_by(self, held: &HeldPermit) -> Self {
         Self {
             slots: self.slots.saturating_sub(1),
             kv_tokens: self.kv_tokens.saturating_sub(held.kv_tokens),
@@ -46,21 +46,21 @@
     }
 }
 
-/// The training attempts to cancel so that `shortage` is covered: those granted last first, since
-/// they have the least progress to redo.
+/// Returns the training attempts to cancel so that `shortage` is covered. The most recently granted
+/// come first, because they lose the least progress.
 pub(super) fn choose_victims(permits: &PermitTable, shortage: Shortage) -> Vec<AttemptId> {
     let mut training: Vec<&HeldPermit> = permits
         .values()
         .filter(|held| !held.is_live && !held.preempted)
         .collect();
     training.sort_by_key(|held| Reverse(held.grant_sequence));
-    let mut left = shortage;
+    let mut remaining = shortage;
     let mut victims = Vec::new();
     for held in training {
-        if left.is_none() {
+        if remaining.is_none() {
             break;
         }
-        left = left.covered_by(held);
+        remaining = remaining.reduced_by(held);
         victims.push(held.permit.attempt);
     }
     victims
--- a/crates/placement/src/admission/queue.rs
+++ b/crates/placement/src/admission/queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait at an engine's home: urgent before live before training.
+//! Queue of admission requests at an engine's home node: urgent before live before training.
 
 use std::collections::BTreeMap;
 
@@ -7,25 +7,25 @@
 use havenstage_types::peer::AdmitRequest;
 use havenstage_types::resource::PriorityClass;
 
-/// Place in the queue; the lowest is next.
+/// Sort key of the queue; the lowest is granted next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueKey {
     class: PriorityClass,
-    /// Zero, or lower for longer training requests when these go first.
-    by_length: u32,
+    /// Zero by default. With longest training first: lower for a larger `max_new_tokens`.
+    length_order: u32,
     arrival: u64,
 }
 
-/// A request that waits.
+/// A queued admission request.
 #[derive(Debug, Clone)]
 pub(super) struct QueuedRequest {
     pub request: AdmitRequest,
     pub arrived_at: Moment,
-    /// When the asker's patience ends.
-    pub give_up_at: Moment,
+    /// When the maximum wait (`patience`) of the request ends.
+    pub expires_at: Moment,
 }
 
-/// The queue, with an index by attempt.
+/// The queue in the order of grants, with an index by attempt.
 #[derive(Debug, Clone, Default)]
 pub(super) struct AdmissionQueue {
     entries: BTreeMap<QueueKey, QueuedRequest>,
@@ -39,7 +39,7 @@
         let sort_by_length = longest_training_first && !request.class.is_live();
         let key = QueueKey {
             class: request.class,
-            by_length: if sort_by_length {
+            length_order: if sort_by_length {
                 u32::MAX - request.max_new_tokens
             } else {
                 0
@@ -49,20 +49,20 @@
         self.keys.insert(request.attempt, key);
         let entry = QueuedRequest {
             arrived_at: now,
-            give_up_at: now + request.patience,
+            expires_at: now + request.patience,
             request,
         };
         self.entries.insert(key, entry);
     }
 
-    /// Prolongs the patience of a waiting request that was asked again; `false` when it does not
-    /// wait here.
+    /// Extends the wait of a queued request that was sent again; returns `false` when the request
+    /// is not queued here.
     pub fn renew(&mut self, now: Moment, request: &AdmitRequest) -> bool {
         let Some(key) = self.keys.get(&request.attempt) else {
             return false;
         };
         if let Some(entry) = self.entries.get_mut(key) {
-            entry.give_up_at = entry.give_up_at.max(now + request.patience);
+            entry.expires_at = entry.expires_at.max(now + request.patience);
         }
         true
     }
@@ -88,23 +88,23 @@
         self.entries.remove(&key)
     }
 
-    /// Waiting live requests, the next first.
+    /// Queued live and urgent requests in queue order.
     pub fn live(&self) -> impl Iterator<Item = &QueuedRequest> {
         self.entries
             .values()
             .take_while(|entry| entry.request.class.is_live())
     }
 
-    /// Attempts whose patience has ended, in queue order.
-    pub fn given_up(&self, now: Moment) -> Vec<AttemptId> {
+    /// Attempts whose maximum wait has ended, in queue order.
+    pub fn expired(&self, now: Moment) -> Vec<AttemptId> {
         self.entries
             .values()
-            .filter(|entry| entry.give_up_at <= now)
+            .filter(|entry| entry.expires_at <= now)
             .map(|entry| entry.request.attempt)
             .collect()
     }
 
-    pub fn asked_by(&self, node: NodeId) -> Vec<AttemptId> {
+    pub fn requested_by(&self, node: NodeId) -> Vec<AttemptId> {
         self.keys
             .keys()
             .copied()
--- a/crates/placement/src/admission/recently_ended.rs
+++ b/crates/placement/src/admission/recently_ended.rs
@@ -1,5 +1,5 @@
-//! Attempts that ended a short while ago. A copy of their ask that arrives late must not get a
-//! permit that nobody would release.
+//! Attempts that ended recently. A delayed duplicate of their admission request must not get a
+//! permit, because nobody would release it.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
@@ -7,10 +7,10 @@
 use havenstage_types::clock::Moment;
 use havenstage_types::ids::AttemptId;
 
-/// How long an ended attempt is remembered; longer than any ask stays on the way.
-const REMEMBERED_FOR: Duration = Duration::from_secs(60);
+/// How long an ended attempt is remembered; longer than any admission request is in flight.
+const RETENTION: Duration = Duration::from_secs(60);
 
-/// See the module.
+/// Set of ended attempts with the times of their ends, the oldest first.
 #[derive(Debug, Clone, Default)]
 pub(super) struct RecentlyEnded {
     order: VecDeque<(Moment, AttemptId)>,
@@ -28,9 +28,9 @@
         self.attempts.contains(&attempt)
     }
 
-    pub fn forget_old(&mut self, now: Moment) {
+    pub fn remove_expired(&mut self, now: Moment) {
         while let Some(&(ended_at, attempt)) = self.order.front() {
-            if now.since(ended_at) < REMEMBERED_FOR {
+            if now.since(ended_at) < RETENTION {
                 return;
             }
             self.order.pop_front();
--- a/crates/placement/src/admission/refusals.rs
+++ b/crates/placement/src/admission/refusals.rs
@@ -1,23 +1,23 @@
-//! Refusals that admission gives.
+//! Constructors of the refusals that admission returns.
 
 use std::time::Duration;
 
 use havenstage_types::ids::{EngineName, PoolName};
 use havenstage_types::refusal::{Refusal, RefusalReason};
 
-/// When an asker may come back to an engine whose version is not known or too old.
-const VERSION_RETRY: Duration = Duration::from_secs(1);
+/// Retry delay for an engine whose version is unknown or too old.
+const VERSION_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 pub(super) fn overloaded(pool: &PoolName, retry_after: Option<Duration>) -> Refusal {
     Refusal::not_run(RefusalReason::Overloaded(pool.clone()), retry_after)
 }
 
 pub(super) fn version_too_old() -> Refusal {
-    Refusal::not_run(RefusalReason::VersionTooOld, Some(VERSION_RETRY))
+    Refusal::not_run(RefusalReason::VersionTooOld, Some(VERSION_RETRY_AFTER))
 }
 
-/// The asker ended the attempt before its ask was decided.
-pub(super) fn ask_ended() -> Refusal {
+/// The requester released the attempt, or died, before the admission request was decided.
+pub(super) fn request_ended() -> Refusal {
     Refusal::not_run(RefusalReason::DeadlineExceeded, None)
 }
 
--- a/crates/placement/src/admission/release_rate.rs
+++ b/crates/placement/src/admission/release_rate.rs
@@ -1,19 +1,17 @@
-//! How fast permits come back, to tell a refused asker when to come again.
+//! Rate at which permits are released; determines the retry delay in refusals.
 
 use std::time::Duration;
 
 use havenstage_types::clock::Moment;
 
-/// Weight of the newest interval in the running mean.
+/// Weight of the newest interval in the exponentially weighted mean.
 const NEWEST_WEIGHT: f64 = 0.2;
-/// Mean interval assumed before two releases were seen.
-const FIRST_INTERVAL: Duration = Duration::from_millis(500);
-/// Shortest time told to a refused asker.
-const SHORTEST_RETRY: Duration = Duration::from_millis(100);
-/// Longest time told to a refused asker.
-const LONGEST_RETRY: Duration = Duration::from_secs(30);
+/// Mean interval assumed until two releases were observed.
+const INITIAL_INTERVAL: Duration = Duration::from_millis(500);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
-/// Running mean of the time between releases.
+/// Exponentially weighted mean of the time between releases.
 #[derive(Debug, Clone, Default)]
 pub(super) struct ReleaseRate {
     last: Option<Moment>,
@@ -31,11 +29,12 @@
         self.last = Some(now);
     }
 
-    /// When a slot may be free for one who comes after `ahead` waiting requests.
+    /// Estimated time until a slot is free for a request behind `ahead` queued requests, clamped to
+    /// [`MIN_RETRY_AFTER`] and [`MAX_RETRY_AFTER`].
     pub fn retry_after(&self, ahead: u32) -> Duration {
-        let interval = self.mean_interval.unwrap_or(FIRST_INTERVAL);
+        let interval = self.mean_interval.unwrap_or(INITIAL_INTERVAL);
         interval
             .saturating_mul(ahead.saturating_add(1))
-            .clamp(SHORTEST_RETRY, LONGEST_RETRY)
+            .clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
     }
 }
