--- a/crates/placement/src/lengths.rs
+++ b/crates/placement/src/lengths.rs
@@ -1,11 +1,11 @@
-//! A running estimate of how many tokens finished answers had.
+//! Running estimate of the length of finished outputs, in tokens.
 
-/// Weight of the newest length in the running mean.
+/// Weight of the newest length in the mean.
 const MEAN_WEIGHT: f64 = 0.125;
-/// Weight of the newest difference in the running mean deviation.
+/// Weight of the newest difference in the mean deviation.
 const DEVIATION_WEIGHT: f64 = 0.25;
-/// How many mean deviations above the mean the cautious estimate lies.
-const CAUTION: f64 = 2.0;
+/// Number of mean deviations that the cautious estimate lies above the mean.
+const CAUTIOUS_DEVIATIONS: f64 = 2.0;
 
 /// Exponentially weighted mean and mean deviation of finished lengths, in tokens, weighted like
 /// the round-trip estimate of TCP (RFC 6298).
@@ -21,7 +21,7 @@
 }
 
 impl RunningLength {
-    /// Takes in the length of one finished answer.
+    /// Updates the estimate with the length of one finished output, in tokens.
     pub fn observe(&mut self, tokens: u32) {
         let tokens = f64::from(tokens);
         let next = match self.state {
@@ -38,14 +38,14 @@
         self.state = Some(next);
     }
 
-    /// The mean length, or `None` before the first observation.
+    /// The mean length in tokens; `None` before the first observation.
     pub fn mean(&self) -> Option<u32> {
         self.state.map(|state| state.mean.round() as u32)
     }
 
-    /// A length that most answers stay below, or `None` before the first observation.
+    /// A length in tokens that most outputs stay below; `None` before the first observation.
     pub fn cautious(&self) -> Option<u32> {
         self.state
-            .map(|state| (state.mean + CAUTION * state.deviation).ceil() as u32)
+            .map(|state| (state.mean + CAUTIOUS_DEVIATIONS * state.deviation).ceil() as u32)
     }
 }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,7 +1,8 @@
-//! Where work runs and when it may start: placement policies, the admission queue at an engine's
-//! home, the spreading of weight swaps, retry budgets and the order of a step's samples.
+//! Decides where work runs and when it may start: placement policies, admission control of an
+//! engine at its home node, staggered weight swaps, retry budgets and the dispatch order of the
+//! samples of a step.
 //!
-//! Everything here is a plain state machine: no I/O, time and seeds are passed in.
+//! All types are deterministic state machines without I/O; callers pass in the time and seeds.
 
 pub mod admission;
 pub mod lengths;
--- a/crates/placement/src/limits.rs
+++ b/crates/placement/src/limits.rs
@@ -1,19 +1,23 @@
-//! Limits on the requests one caller has in flight at this node.
+//! Limits on the number of requests that one caller has in flight at this node.
 
 use std::collections::BTreeMap;
 
 use havenstage_types::ids::CallerName;
 use havenstage_types::refusal::{Refusal, RefusalReason};
 
-/// Counts each caller's requests in flight.
+/// Counts the requests in flight of each caller.
 #[derive(Debug, Clone, Default)]
 pub struct InFlightLimiter {
     in_flight: BTreeMap<CallerName, u32>,
 }
 
 impl InFlightLimiter {
-    /// Counts one more request of `caller`, or refuses it when `limit` are in flight already.
-    /// `None` sets no limit. Every success must be followed by one [`finish`](Self::finish).
+    /// Counts one more request of `caller`. A `limit` of `None` means unlimited. Every success must
+    /// be followed by one call of [`finish`](Self::finish).
+    ///
+    /// # Errors
+    ///
+    /// Returns a refusal when `limit` requests of the caller are in flight already.
     pub fn try_start(&mut self, caller: &CallerName, limit: Option<u32>) -> Result<(), Refusal> {
         let running = self.in_flight(caller);
         if limit.is_some_and(|limit| running >= limit) {
@@ -23,7 +27,8 @@
         Ok(())
     }
 
-    /// Counts one request of `caller` less; callers with none left take no memory.
+    /// Counts one request of `caller` less. The entry of a caller without requests in flight is
+    /// removed.
     pub fn finish(&mut self, caller: &CallerName) {
         let Some(running) = self.in_flight.get_mut(caller) else {
             return;
@@ -34,12 +39,12 @@
         }
     }
 
-    /// Requests of `caller` in flight.
+    /// Number of requests of `caller` in flight.
     pub fn in_flight(&self, caller: &CallerName) -> u32 {
         self.in_flight.get(caller).copied().unwrap_or(0)
     }
 
-    /// Callers that have requests in flight.
+    /// Number of callers that have requests in flight.
     pub fn callers(&self) -> usize {
         self.in_flight.len()
     }
--- a/crates/placement/src/live_engines.rs
+++ b/crates/placement/src/live_engines.rs
@@ -1,15 +1,16 @@
-//! Engines of a pool that live calls go to first and on which training takes few slots.
+//! Selection of the engines of a pool that live calls try first and on which training occupies few
+//! slots.
 //!
-//! The time an engine takes for a token grows with the sequences it computes together, so live
-//! calls beside a full batch of training are slow however soon they start. A few engines with
-//! small batches keep them fast at a small cost in capacity. Every node picks the same engines
-//! without a word to the others: the first in rendezvous order.
+//! The time an engine needs per token grows with the number of sequences in its batch, so live
+//! calls next to a full batch of training are slow however early they start. A few engines with
+//! small batches keep live calls fast at a small cost in capacity. Every node selects the same
+//! engines without communication: the first in rendezvous order.
 
 use havenstage_types::ids::EngineName;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The engines that are kept for live calls: `percent` of all, rounded to the nearest number, so
-/// that very small pools keep none.
+/// Returns the engines that live calls try first: `percent` of all, rounded to the nearest number,
+/// so that very small pools have none. The result does not depend on the order of `engines`.
 pub fn live_engines(engines: &[EngineName], percent: u8) -> Vec<EngineName> {
     let count = (engines.len() * usize::from(percent) + 50) / 100;
     let mut ordered: Vec<&EngineName> = engines.iter().collect();
--- a/crates/placement/src/policies/least_reported_load.rs
+++ b/crates/placement/src/policies/least_reported_load.rs
@@ -1,5 +1,5 @@
-//! The engine with the least load by the last hint. Hints lag, so nodes that hold the same hint
-//! run to the same engine together; kept as a baseline to compare with.
+//! Policy that ranks engines by their last load hint, the lowest first. Hints lag, so nodes with
+//! the same hint choose the same engine at the same time. The policy is a baseline for comparisons.
 
 use havenstage_types::decision::CandidateScore;
 use havenstage_types::resource::PolicyName;
@@ -11,7 +11,7 @@
     EngineView, PlacementPolicy, PlacementRequest, PolicySettings, eligible, take_candidates,
 };
 
-/// See the module.
+/// Ranks engines by load ratio, the lowest first.
 #[derive(Debug)]
 pub struct LeastReportedLoad {
     settings: PolicySettings,
@@ -19,7 +19,7 @@
 }
 
 impl LeastReportedLoad {
-    /// A policy that breaks ties by draws from `seed`.
+    /// Creates a policy that breaks ties randomly; the random numbers derive from `seed`.
     pub fn new(settings: PolicySettings, seed: u64) -> Self {
         Self {
             settings,
--- a/crates/placement/src/policies/mod.rs
+++ b/crates/placement/src/policies/mod.rs
@@ -1,4 +1,4 @@
-//! Policies that rank the engines of a pool for one piece of work, one file each behind one trait.
+//! Policies that rank the engines of a pool for one request or sample, behind one trait.
 
 mod least_reported_load;
 mod prefix_affinity;
@@ -16,50 +16,54 @@
 pub use random::Random;
 pub use round_robin::RoundRobin;
 
-/// Bytes at the start of a prompt that decide which engines are likely to hold it in their cache.
+/// Number of bytes at the start of a prompt that are hashed to choose the engines likely to have
+/// the prompt's prefix in their cache.
 pub const PREFIX_BYTES: usize = 256;
 
-/// Work to be placed.
+/// A request or sample to be placed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlacementRequest {
-    /// Hash of the request id or sample id; breaks ties differently for each subject.
+    /// Hash of the request id or sample id. Seeds the rendezvous order of stragglers, so that ties
+    /// are broken differently for each subject.
     pub subject_hash: u64,
-    /// Hash of the start of the prompt, from [`prefix_hash`].
+    /// Hash of the start of the prompt, computed by [`prefix_hash`].
     pub prefix_hash: u64,
-    /// Zone of the node that places the work.
+    /// Zone of the node that places the work. With prefix affinity, engines in this zone win ties.
     pub zone: Zone,
-    /// Class of the work.
+    /// Priority class of the work.
     pub class: PriorityClass,
-    /// Oldest version the work may run on; `None` accepts any.
+    /// Oldest weight version the work may run on; `None` accepts any.
     pub oldest_version: Option<VersionNumber>,
-    /// Whether it is among the last samples of its step and should get a fast engine.
+    /// Whether the work is one of the last samples of its step. Prefix affinity sends these to the
+    /// least loaded engines.
     pub straggler: bool,
 }
 
-/// An engine as the placing node knows it; all of it may be out of date.
+/// State of an engine as the placing node knows it; every field may be out of date.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineView {
-    /// Its name.
+    /// Name of the engine; input of the rendezvous hash.
     pub name: EngineName,
-    /// Its zone.
+    /// Zone in which the engine runs.
     pub zone: Zone,
-    /// Running and queued requests, from the last reply of its home.
+    /// Number of running and queued requests in the last reply of its home node.
     pub load_hint: u32,
-    /// Most requests it runs at once.
+    /// Maximum number of requests the engine runs at once.
     pub max_running: u32,
-    /// Version it last reported; `None` when not known.
+    /// Weight version that the engine last reported; `None` when unknown.
     pub version: Option<VersionNumber>,
-    /// Whether it is believed to take new work.
+    /// Whether the engine is expected to accept new work.
     pub accepts_work: bool,
 }
 
 impl EngineView {
-    /// Load as a share of the slots: 1.0 is full.
+    /// Load hint divided by the number of slots. 1.0 means full; queued requests raise it above.
     pub fn load_ratio(&self) -> f64 {
         f64::from(self.load_hint) / f64::from(self.max_running.max(1))
     }
 
-    /// Whether it may serve `request`. An engine whose version is not known may: its home decides.
+    /// Whether the engine may serve `request`. An engine of unknown version may: its home node
+    /// decides.
     fn is_eligible(&self, request: &PlacementRequest) -> bool {
         let too_old = matches!(
             (self.version, request.oldest_version),
@@ -69,24 +73,24 @@
     }
 }
 
-/// Ranks engines.
+/// A policy that ranks the engines of a pool for one request.
 pub trait PlacementPolicy: Send {
-    /// Name under which an operator chooses this policy.
+    /// Name by which an operator selects this policy.
     fn name(&self) -> PolicyName;
 
-    /// The engines to try, the best first, at most [`PolicySettings::candidates`]; empty when no
-    /// engine takes such work.
+    /// Returns the engines to try, the best first, at most [`PolicySettings::candidates`]. The
+    /// result is empty when no engine may serve the request.
     fn rank(&mut self, request: &PlacementRequest, engines: &[EngineView]) -> Vec<CandidateScore>;
 }
 
-/// Settings of the policies.
+/// Settings shared by all policies.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PolicySettings {
-    /// Most candidates to return.
+    /// Maximum number of candidates that a policy returns.
     pub candidates: usize,
-    /// Engines that share one prompt prefix; the least loaded of them is tried first.
+    /// Number of engines that serve one prompt prefix; the least loaded of them is tried first.
     pub engines_per_prefix: usize,
-    /// Load, in percent of the pool's mean, above which an engine gets no work by prefix.
+    /// Load, in percent of the pool's mean, above which an engine is not chosen by prefix.
     pub load_bound_percent: u32,
 }
 
@@ -101,7 +105,11 @@
 }
 
 impl PolicySettings {
-    /// Checks the ranges.
+    /// Checks the ranges of the settings.
+    ///
+    /// # Errors
+    ///
+    /// Returns the first setting that is outside its range.
     pub fn validate(&self) -> Result<(), InvalidSetting> {
         InvalidSetting::unless(
             self.candidates >= 1,
@@ -124,7 +132,8 @@
     }
 }
 
-/// Makes the policy `name`. Policies made from equal arguments rank alike.
+/// Creates the policy `name`. Policies created from equal arguments return equal rankings for the
+/// same sequence of calls.
 pub fn build(name: PolicyName, settings: &PolicySettings, seed: u64) -> Box<dyn PlacementPolicy> {
     let settings = settings.clone();
     match name {
@@ -141,7 +150,7 @@
     xxh3_64(&bytes[..bytes.len().min(PREFIX_BYTES)])
 }
 
-/// Engines that may serve `request`, in the order given.
+/// Returns the engines that may serve `request`, in the given order.
 fn eligible<'a>(request: &PlacementRequest, engines: &'a [EngineView]) -> Vec<&'a EngineView> {
     engines
         .iter()
@@ -149,7 +158,7 @@
         .collect()
 }
 
-/// The first `count` of `ranked` as candidates without prefix knowledge.
+/// Returns the first `count` of `ranked` as candidates without a prefix match.
 fn take_candidates(
     ranked: &[&EngineView],
     count: usize,
--- a/crates/placement/src/policies/prefix_affinity.rs
+++ b/crates/placement/src/policies/prefix_affinity.rs
@@ -1,10 +1,10 @@
-//! Keeps prompts with a common start on few engines, whose caches then hold that start.
+//! Policy that sends prompts with a common prefix to few engines, whose caches then hold it.
 //!
-//! The engines are put in rendezvous order by a hash of prompt prefix and engine name. The first
-//! few whose load stays within a bound around the pool's mean (consistent hashing with bounded
-//! loads) are the prefix's engines; among them the least loaded is tried first (power of k
-//! choices), one in the same zone among equals. Every node computes the same order without a word
-//! to the others. Stragglers skip the prefix and go to the least loaded engines.
+//! The engines are ordered by a hash of prompt prefix and engine name (rendezvous hashing). The
+//! first few whose load stays within a bound relative to the pool's mean (consistent hashing with
+//! bounded loads) are the engines of the prefix. The least loaded of them is tried first (power of
+//! k choices); among equally loaded ones an engine in the same zone. Every node computes the same
+//! order without communication. Stragglers ignore the prefix and go to the least loaded engines.
 
 use std::cmp::Ordering;
 
@@ -14,39 +14,41 @@
 
 use super::{EngineView, PlacementPolicy, PlacementRequest, PolicySettings, eligible};
 
-/// Requests an engine may always have, so that the bound does not scatter work in an idle pool.
-const LOAD_ALWAYS_ALLOWED: f64 = 1.0;
+/// Lower limit of the load bound, in requests. Without it the bound would spread the requests of
+/// one prefix over many engines in an idle pool.
+const MIN_LOAD_BOUND: f64 = 1.0;
 
-/// See the module.
+/// Ranks the engines of a request's prompt prefix first.
 #[derive(Debug)]
 pub struct PrefixAffinity {
     settings: PolicySettings,
 }
 
-/// An engine with its place in the order of one request.
+/// An engine with its position in the rendezvous order of one request.
 struct Ranked<'a> {
     engine: &'a EngineView,
     hash: u64,
+    /// Whether the engine is one of the engines of the request's prefix.
     prefix_match: bool,
 }
 
 impl PrefixAffinity {
-    /// A policy with these settings; it keeps no state.
+    /// Creates a policy with these settings; it keeps no state between calls.
     pub fn new(settings: PolicySettings) -> Self {
         Self { settings }
     }
 
-    /// Marks the prefix's engines: the first in rendezvous order whose load is within the bound.
+    /// Marks the engines of the prefix: the first in rendezvous order with a load in the bound.
     fn mark_prefix_engines(&self, ranked: &mut [Ranked<'_>]) {
         let bound = self.load_bound(ranked);
         ranked
             .iter_mut()
-            .filter(|entry| within_bound(entry.engine, bound))
+            .filter(|entry| is_within_bound(entry.engine, bound))
             .take(self.settings.engines_per_prefix)
             .for_each(|entry| entry.prefix_match = true);
     }
 
-    /// The highest load ratio an engine may have to get work by prefix.
+    /// The highest load ratio at which an engine may be chosen by prefix.
     fn load_bound(&self, ranked: &[Ranked<'_>]) -> f64 {
         let load: u64 = ranked
             .iter()
@@ -98,14 +100,14 @@
     ranked
 }
 
-fn within_bound(engine: &EngineView, bound: f64) -> bool {
-    let allowed = (bound * f64::from(engine.max_running)).max(LOAD_ALWAYS_ALLOWED);
-    f64::from(engine.load_hint) <= allowed
+fn is_within_bound(engine: &EngineView, bound: f64) -> bool {
+    let max_load = (bound * f64::from(engine.max_running)).max(MIN_LOAD_BOUND);
+    f64::from(engine.load_hint) <= max_load
 }
 
-/// The prefix's engines first, then by load, then the same zone.
+/// Orders the engines of the prefix first, then lower load first, then the request's zone first.
 fn compare(left: &Ranked<'_>, right: &Ranked<'_>, request: &PlacementRequest) -> Ordering {
-    let other_zone = |entry: &Ranked<'_>| entry.engine.zone != request.zone;
+    let is_in_other_zone = |entry: &Ranked<'_>| entry.engine.zone != request.zone;
     right
         .prefix_match
         .cmp(&left.prefix_match)
@@ -114,7 +116,7 @@
                 .load_ratio()
                 .total_cmp(&right.engine.load_ratio())
         })
-        .then_with(|| other_zone(left).cmp(&other_zone(right)))
+        .then_with(|| is_in_other_zone(left).cmp(&is_in_other_zone(right)))
 }
 
 fn candidate(entry: &Ranked<'_>) -> CandidateScore {
--- a/crates/placement/src/policies/random.rs
+++ b/crates/placement/src/policies/random.rs
@@ -1,4 +1,4 @@
-//! Any engine with equal probability.
+//! Policy that chooses every engine with equal probability.
 
 use havenstage_types::decision::CandidateScore;
 use havenstage_types::resource::PolicyName;
@@ -10,7 +10,7 @@
     EngineView, PlacementPolicy, PlacementRequest, PolicySettings, eligible, take_candidates,
 };
 
-/// See the module.
+/// Ranks engines in random order.
 #[derive(Debug)]
 pub struct Random {
     settings: PolicySettings,
@@ -18,7 +18,7 @@
 }
 
 impl Random {
-    /// A policy that draws from `seed`.
+    /// Creates a policy whose random numbers derive from `seed`.
     pub fn new(settings: PolicySettings, seed: u64) -> Self {
         Self {
             settings,
--- a/crates/placement/src/policies/round_robin.rs
+++ b/crates/placement/src/policies/round_robin.rs
@@ -1,4 +1,4 @@
-//! Engines in turn.
+//! Policy that starts each ranking one engine later than the previous one.
 
 use havenstage_types::decision::CandidateScore;
 use havenstage_types::resource::PolicyName;
@@ -7,19 +7,20 @@
     EngineView, PlacementPolicy, PlacementRequest, PolicySettings, eligible, take_candidates,
 };
 
-/// See the module.
+/// Ranks engines in the given order, rotated by one more position at each call.
 #[derive(Debug)]
 pub struct RoundRobin {
     settings: PolicySettings,
-    next: u64,
+    next_turn: u64,
 }
 
 impl RoundRobin {
-    /// A policy whose first turn is drawn from `seed`, so that nodes do not go in step.
+    /// Creates a policy whose first rotation is `seed`, so that nodes with different seeds do not
+    /// choose the same engines at the same time.
     pub fn new(settings: PolicySettings, seed: u64) -> Self {
         Self {
             settings,
-            next: seed,
+            next_turn: seed,
         }
     }
 }
@@ -34,9 +35,9 @@
         if engines.is_empty() {
             return Vec::new();
         }
-        let turn = self.next % engines.len() as u64;
+        let turn = self.next_turn % engines.len() as u64;
         engines.rotate_left(turn as usize);
-        self.next = self.next.wrapping_add(1);
+        self.next_turn = self.next_turn.wrapping_add(1);
         take_candidates(&engines, self.settings.candidates, |position, _| {
             position as f64
         })
--- a/crates/placement/src/retry.rs
+++ b/crates/placement/src/retry.rs
@@ -1,5 +1,5 @@
-//! How often and how soon failed work is tried again: a retry budget in proportion to the
-//! successes, and exponential backoff with full jitter.
+//! Limits on retries of failed work: a retry budget in proportion to the successes, and exponential
+//! backoff with full jitter.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -10,17 +10,17 @@
 
 use crate::settings::InvalidSetting;
 
-/// Slices a budget's `ttl` is kept in; a slice is forgotten as a whole.
+/// Number of time slices into which the `ttl` of a budget is divided. Slices expire as a whole.
 const SLICES_PER_TTL: u64 = 10;
 
 /// Settings of a [`RetryBudget`].
 #[derive(Debug, Clone, PartialEq)]
 pub struct RetryBudgetSettings {
-    /// How long successes and retries count.
+    /// How long successes and retries count towards the budget.
     pub ttl: Duration,
-    /// Retries a second that are allowed whatever the successes.
+    /// Retries per second that are allowed regardless of the successes.
     pub min_retries_per_second: u32,
-    /// Retries allowed for each success within `ttl`.
+    /// Number of retries allowed for each success within `ttl`.
     pub retry_ratio: f64,
 }
 
@@ -35,7 +35,11 @@
 }
 
 impl RetryBudgetSettings {
-    /// Checks the ranges.
+    /// Checks the ranges of the settings.
+    ///
+    /// # Errors
+    ///
+    /// Returns the first setting that is outside its range.
     pub fn validate(&self) -> Result<(), InvalidSetting> {
         InvalidSetting::unless(
             self.ttl >= Duration::from_secs(1),
@@ -52,7 +56,7 @@
     }
 }
 
-/// Successes and retries of one slice of time.
+/// Numbers of successes and retries in one slice of time.
 #[derive(Debug, Clone, Default)]
 struct Slice {
     index: u64,
@@ -61,7 +65,7 @@
 }
 
 /// Allows retries in proportion to the recent successes, so that retries cannot multiply the load
-/// on a system that already fails.
+/// on a system that is already failing.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
     settings: RetryBudgetSettings,
@@ -69,7 +73,7 @@
 }
 
 impl RetryBudget {
-    /// An unused budget.
+    /// Creates a budget without recorded successes and retries.
     pub fn new(settings: RetryBudgetSettings) -> Self {
         Self {
             settings,
@@ -82,7 +86,7 @@
         self.slice(now).successes += 1;
     }
 
-    /// Takes one retry out of the budget; `false` when it is used up.
+    /// Takes one retry out of the budget; returns `false` when none is left.
     pub fn try_retry(&mut self, now: Moment) -> bool {
         if self.available(now) < 1.0 {
             return false;
@@ -91,18 +95,19 @@
         true
     }
 
-    /// Retries left at this moment.
+    /// Number of retries left at `now`; one retry needs at least 1.0.
     pub fn available(&mut self, now: Moment) -> f64 {
-        self.forget_old(now);
+        self.remove_expired(now);
         let successes: u64 = self.slices.iter().map(|slice| slice.successes).sum();
         let retries: u64 = self.slices.iter().map(|slice| slice.retries).sum();
-        let always =
+        let base_retries =
             f64::from(self.settings.min_retries_per_second) * self.settings.ttl.as_secs_f64();
-        always + successes as f64 * self.settings.retry_ratio - retries as f64
+        base_retries + successes as f64 * self.settings.retry_ratio - retries as f64
     }
 
+    /// The slice that contains `now`, created if needed.
     fn slice(&mut self, now: Moment) -> &mut Slice {
-        self.forget_old(now);
+        self.remove_expired(now);
         let index = self.slice_index(now);
         if self.slices.back().is_none_or(|last| last.index < index) {
             self.slices.push_back(Slice {
@@ -114,7 +119,7 @@
         &mut self.slices[last]
     }
 
-    fn forget_old(&mut self, now: Moment) {
+    fn remove_expired(&mut self, now: Moment) {
         let current = self.slice_index(now);
         while self
             .slices
@@ -150,7 +155,11 @@
 }
 
 impl BackoffSettings {
-    /// Checks the ranges.
+    /// Checks the ranges of the settings.
+    ///
+    /// # Errors
+    ///
+    /// Returns the first setting that is outside its range.
     pub fn validate(&self) -> Result<(), InvalidSetting> {
         InvalidSetting::unless(
             !self.base.is_zero() && self.base <= self.max,
@@ -161,8 +170,8 @@
     }
 }
 
-/// Exponential backoff with full jitter: the n-th delay is drawn evenly from zero to
-/// `min(max, base * 2^n)`.
+/// Exponential backoff with full jitter: the n-th delay, counted from zero, is uniformly
+/// distributed between zero and `min(max, base * 2^n)`.
 #[derive(Debug, Clone)]
 pub struct Backoff {
     settings: BackoffSettings,
@@ -171,7 +180,7 @@
 }
 
 impl Backoff {
-    /// A backoff that draws its delays from `seed`.
+    /// Creates a backoff whose random delays derive from `seed`.
     pub fn new(settings: BackoffSettings, seed: u64) -> Self {
         Self {
             settings,
@@ -180,7 +189,7 @@
         }
     }
 
-    /// How long to wait before the next try.
+    /// Returns the delay before the next attempt and raises the bound of the one after it.
     pub fn next_delay(&mut self) -> Duration {
         let factor = 2u32.saturating_pow(self.attempt);
         let bound = self
@@ -192,7 +201,7 @@
         self.random.random_range(Duration::ZERO..=bound)
     }
 
-    /// Starts over after a success.
+    /// Resets the delay bound to `base`; called after a success.
     pub fn reset(&mut self) {
         self.attempt = 0;
     }
--- a/crates/placement/src/settings.rs
+++ b/crates/placement/src/settings.rs
@@ -1,4 +1,4 @@
-//! The error that every settings struct of this crate reports from `validate`.
+//! The error that `validate` returns for every settings struct of this crate.
 
 use thiserror::Error;
 
@@ -6,23 +6,23 @@
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{setting} is {value}, allowed: {allowed}")]
 pub struct InvalidSetting {
-    /// Name of the setting.
+    /// Full name of the setting, for example `retry.ttl`.
     pub setting: &'static str,
-    /// Value given.
+    /// The rejected value, formatted for the message.
     pub value: String,
-    /// Allowed range.
+    /// Description of the allowed range.
     pub allowed: &'static str,
 }
 
 impl InvalidSetting {
-    /// Reports `setting` unless `holds`.
+    /// Returns an error for `setting` unless `is_valid`.
     pub(crate) fn unless(
-        holds: bool,
+        is_valid: bool,
         setting: &'static str,
         value: impl ToString,
         allowed: &'static str,
     ) -> Result<(), Self> {
-        if holds {
+        if is_valid {
             return Ok(());
         }
         Err(Self {
