--- a/crates/placement/tests/admission_invariants.rs
+++ b/crates/placement/tests/admission_invariants.rs
@@ -1,4 +1,5 @@
-//! What admission promises after any sequence of events.
+//! Property tests: the limits, priorities and answers of admission hold after any sequence of
+//! events.
 
 mod support;
 
@@ -43,13 +44,13 @@
     })
 }
 
-fn asks() -> impl Strategy<Value = AdmitRequest> {
+fn admit_requests() -> impl Strategy<Value = AdmitRequest> {
     let classes = prop_oneof![
         1 => Just(PriorityClass::Urgent),
         2 => Just(PriorityClass::Live),
         4 => Just(PriorityClass::Training),
     ];
-    // Small work runs into the slots, large work into the KV budget.
+    // Small requests exhaust the slots, large requests the KV budget.
     let tokens = prop_oneof![(1u32..100, 1u32..400), (1u32..2_000, 1u32..4_000)];
     (attempts(), classes, tokens, 0u64..20_000).prop_map(|(attempt, class, tokens, patience)| {
         AdmitRequest {
@@ -77,7 +78,7 @@
             leaving: leaving == 0,
         });
     prop_oneof![
-        20 => asks().prop_map(Event::Admit),
+        20 => admit_requests().prop_map(Event::Admit),
         14 => (attempts(), ends).prop_map(|(attempt, end)| Event::Release(attempt, end)),
         3 => Just(Event::Tick),
         5 => reports,
@@ -88,9 +89,9 @@
     ]
 }
 
-/// What the outside has seen, kept apart from the machine under test.
+/// Model of the expected state, built only from the events and the returned actions.
 struct Observer {
-    home: EngineAdmission,
+    admission: EngineAdmission,
     now: Moment,
     waiting: BTreeMap<AttemptId, PriorityClass>,
     held: BTreeMap<AttemptId, (Permit, PriorityClass)>,
@@ -101,7 +102,7 @@
 impl Observer {
     fn new() -> Self {
         Self {
-            home: EngineAdmission::new(engine(), limits(MAX_RUNNING)),
+            admission: EngineAdmission::new(engine(), limits(MAX_RUNNING)),
             now: Moment(0),
             waiting: BTreeMap::new(),
             held: BTreeMap::new(),
@@ -117,9 +118,9 @@
             Event::Release(attempt, end) => {
                 self.held.remove(&attempt);
                 self.ended.insert(attempt);
-                self.home.release(now, &release(attempt, end))
+                self.admission.release(now, &release(attempt, end))
             }
-            Event::Tick => self.home.tick(now),
+            Event::Tick => self.admission.tick(now),
             Event::Report {
                 boot,
                 kv_used,
@@ -128,14 +129,14 @@
                 let mut report = report(boot);
                 report.kv_used_tokens = kv_used;
                 report.leaving = leaving;
-                self.home.report(now, &report)
+                self.admission.report(now, &report)
             }
-            Event::Unreachable => self.home.unreachable(now),
-            Event::Stop => self.home.stop(now, EngineStopReason::Operator),
-            Event::Resume => self.home.resume(now, EngineStopReason::Operator),
+            Event::Unreachable => self.admission.unreachable(now),
+            Event::Stop => self.admission.stop(now, EngineStopReason::Operator),
+            Event::Resume => self.admission.resume(now, EngineStopReason::Operator),
             Event::DropHolder(node) => {
                 self.held.retain(|attempt, _| attempt.node != node);
-                self.home.drop_holder(now, node)
+                self.admission.drop_holder(now, node)
             }
         };
         self.observe(&actions);
@@ -144,9 +145,9 @@
     fn admit(&mut self, request: AdmitRequest) {
         let attempt = request.attempt;
         let class = request.class;
-        let earlier = self.held.get(&attempt).map(|(permit, _)| permit.clone());
-        let actions = self.home.admit(self.now, request);
-        if let Some(permit) = earlier {
+        let held_permit = self.held.get(&attempt).map(|(permit, _)| permit.clone());
+        let actions = self.admission.admit(self.now, request);
+        if let Some(permit) = held_permit {
             assert_eq!(actions, [AdmissionAction::Grant(permit)]);
             return;
         }
@@ -165,11 +166,14 @@
                     attempt, refusal, ..
                 } => {
                     assert_eq!(refusal.execution, Execution::NotRun);
-                    assert!(self.waiting.remove(attempt).is_some(), "one answer an ask");
+                    assert!(
+                        self.waiting.remove(attempt).is_some(),
+                        "one answer per admission request"
+                    );
                 }
                 AdmissionAction::Preempt { attempt } => {
                     assert_eq!(self.held[attempt].1, PriorityClass::Training);
-                    assert!(self.preempted.insert(*attempt), "asked once");
+                    assert!(self.preempted.insert(*attempt), "preemption requested once");
                 }
                 AdmissionAction::EngineStopped(_) | AdmissionAction::EngineResumed => {}
             }
@@ -181,8 +185,8 @@
         let class = self
             .waiting
             .remove(&permit.attempt)
-            .expect("one answer an ask");
-        assert!(!self.home.is_stopped());
+            .expect("one answer per admission request");
+        assert!(!self.admission.is_stopped());
         let most_urgent_waiting = self.waiting.values().min();
         assert!(most_urgent_waiting.is_none_or(|waiting| *waiting >= class));
         self.held.insert(permit.attempt, (permit.clone(), class));
@@ -196,9 +200,9 @@
             .count();
         assert!(self.held.len() <= MAX_RUNNING as usize);
         assert!(training <= limits(MAX_RUNNING).training_slots() as usize);
-        assert!(self.home.kv_projected_tokens() <= self.home.kv_budget_tokens());
-        assert_eq!(self.home.in_flight() as usize, self.held.len());
-        assert_eq!(self.home.queued() as usize, self.waiting.len());
+        assert!(self.admission.kv_projected_tokens() <= self.admission.kv_budget_tokens());
+        assert_eq!(self.admission.in_flight() as usize, self.held.len());
+        assert_eq!(self.admission.queued() as usize, self.waiting.len());
     }
 }
 
@@ -219,14 +223,14 @@
             observer.now = observer.now + Duration::from_millis(pause_ms);
             observer.apply(event);
         }
-        // Whatever was left over ends when its patience or its holder does.
+        // Every remaining request ends when its maximum wait passes or its holder dies.
         for node in 1..=NODES {
             observer.apply(Event::DropHolder(NodeId(node)));
         }
         observer.now = observer.now + Duration::from_secs(20);
         observer.apply(Event::Tick);
-        prop_assert_eq!(observer.home.load(), 0);
-        prop_assert_eq!(observer.home.kv_projected_tokens(), 0);
+        prop_assert_eq!(observer.admission.load(), 0);
+        prop_assert_eq!(observer.admission.kv_projected_tokens(), 0);
         prop_assert!(observer.waiting.is_empty());
     }
 }
--- a/crates/placement/tests/admission_swaps_and_lengths.rs
+++ b/crates/placement/tests/admission_swaps_and_lengths.rs
@@ -1,5 +1,5 @@
-//! Live work keeps off engines that are about to load, and training is projected by what finished
-//! samples needed.
+//! Tests that live requests avoid engines about to load a version, and that training is projected
+//! from the lengths of finished samples.
 
 mod support;
 
@@ -9,95 +9,110 @@
 use havenstage_types::ids::VersionNumber;
 use havenstage_types::peer::{AdmitRequest, ReleaseReason, ReleaseRequest};
 use havenstage_types::resource::PriorityClass;
-use support::{ask, at, attempt, engine, home, limits, permits, release, report};
+use support::{
+    admit_request, at_seconds, attempt, engine, limits, new_admission, permits, release, report,
+};
 
-fn impatient(sequence: u64, class: PriorityClass) -> AdmitRequest {
+fn non_waiting_request(sequence: u64, class: PriorityClass) -> AdmitRequest {
     AdmitRequest {
         patience: Duration::ZERO,
-        ..ask(sequence, class)
+        ..admit_request(sequence, class)
     }
 }
 
 #[test]
-fn live_work_that_can_ask_elsewhere_keeps_off_an_engine_about_to_load() {
-    let mut home = home(4);
-    home.report(at(0), &report(1));
-    home.swap_ordered(VersionNumber(8));
-    let refused = home.admit(at(1), impatient(1, PriorityClass::Live));
+fn live_work_that_does_not_wait_is_refused_by_an_engine_about_to_load() {
+    let mut admission = new_admission(4);
+    admission.report(at_seconds(0), &report(1));
+    admission.swap_ordered(VersionNumber(8));
+    let refused = admission.admit(at_seconds(1), non_waiting_request(1, PriorityClass::Live));
     assert!(permits(&refused).is_empty());
-    let waiting = home.admit(at(1), ask(2, PriorityClass::Live));
+    let waiting = admission.admit(at_seconds(1), admit_request(2, PriorityClass::Live));
     assert_eq!(permits(&waiting).len(), 1);
-    let training = home.admit(at(1), impatient(3, PriorityClass::Training));
+    let training = admission.admit(
+        at_seconds(1),
+        non_waiting_request(3, PriorityClass::Training),
+    );
     assert_eq!(permits(&training).len(), 1);
 }
 
 #[test]
-fn the_end_of_a_swap_brings_live_work_back() {
+fn live_work_is_admitted_again_when_a_swap_has_ended() {
     for (version, failed) in [(8, None), (7, Some(VersionNumber(8)))] {
-        let mut home = home(4);
-        home.report(at(0), &report(1));
-        home.swap_ordered(VersionNumber(8));
-        // The report lags: one from before the order changes nothing.
-        home.report(at(1), &report(1));
-        let early = home.admit(at(1), impatient(1, PriorityClass::Live));
+        let mut admission = new_admission(4);
+        admission.report(at_seconds(0), &report(1));
+        admission.swap_ordered(VersionNumber(8));
+        // A report that still shows the state before the order changes nothing.
+        admission.report(at_seconds(1), &report(1));
+        let early = admission.admit(at_seconds(1), non_waiting_request(1, PriorityClass::Live));
         assert!(permits(&early).is_empty());
         let mut ended = report(1);
         ended.version = Some(VersionNumber(version));
         ended.failed_swap = failed;
-        home.report(at(2), &ended);
-        let late = home.admit(at(2), impatient(2, PriorityClass::Live));
+        admission.report(at_seconds(2), &ended);
+        let late = admission.admit(at_seconds(2), non_waiting_request(2, PriorityClass::Live));
         assert_eq!(permits(&late).len(), 1);
     }
 }
 
-/// Training requests of up to 1000 tokens that fit at once after one of `finished` tokens ended.
-fn admitted_after(projection: TrainingProjection, finished: u32) -> usize {
+/// Number of training requests of up to 1000 tokens that are admitted together after a request that
+/// generated `finished_tokens` has ended.
+fn count_admitted_after(projection: TrainingProjection, finished_tokens: u32) -> usize {
     let limits = AdmissionLimits {
         training_projection: projection,
         live_reserve_percent: 0,
         max_queued: 0,
         ..limits(100)
     };
-    let mut home = EngineAdmission::new(engine(), limits);
-    home.report(at(0), &report(1));
-    home.admit(at(0), ask(1_000, PriorityClass::Training));
-    home.release(
-        at(1),
+    let mut admission = EngineAdmission::new(engine(), limits);
+    admission.report(at_seconds(0), &report(1));
+    admission.admit(at_seconds(0), admit_request(1_000, PriorityClass::Training));
+    admission.release(
+        at_seconds(1),
         &ReleaseRequest {
-            generated_tokens: Some(finished),
+            generated_tokens: Some(finished_tokens),
             ..release(attempt(1_000), ReleaseReason::Ended)
         },
     );
     let granted = (1..100).filter(|sequence| {
-        let mut request = impatient(*sequence, PriorityClass::Training);
+        let mut request = non_waiting_request(*sequence, PriorityClass::Training);
         request.max_new_tokens = 1_000;
-        permits(&home.admit(at(2), request)).len() == 1
+        permits(&admission.admit(at_seconds(2), request)).len() == 1
     });
     granted.count()
 }
 
 #[test]
-fn projection_follows_the_lengths_that_releases_tell() {
-    // 8500 tokens of budget, 10 of context each.
-    assert_eq!(admitted_after(TrainingProjection::ShareOfBound, 90), 16);
-    assert_eq!(admitted_after(TrainingProjection::ObservedMean, 90), 85);
-    assert_eq!(admitted_after(TrainingProjection::ObservedCautious, 90), 44);
+fn projection_follows_the_lengths_in_releases() {
+    // The budget is 8500 tokens; each request has 10 tokens of context.
+    assert_eq!(
+        count_admitted_after(TrainingProjection::ShareOfBound, 90),
+        16
+    );
+    assert_eq!(
+        count_admitted_after(TrainingProjection::ObservedMean, 90),
+        85
+    );
+    assert_eq!(
+        count_admitted_after(TrainingProjection::ObservedCautious, 90),
+        44
+    );
 }
 
 #[test]
-fn lengths_of_live_answers_do_not_count_for_training() {
-    let mut home = home(4);
-    home.report(at(0), &report(1));
-    home.admit(at(0), ask(1, PriorityClass::Live));
-    home.release(
-        at(1),
+fn lengths_of_live_outputs_do_not_change_the_training_projection() {
+    let mut admission = new_admission(4);
+    admission.report(at_seconds(0), &report(1));
+    admission.admit(at_seconds(0), admit_request(1, PriorityClass::Live));
+    admission.release(
+        at_seconds(1),
         &ReleaseRequest {
             generated_tokens: Some(20),
             ..release(attempt(1), ReleaseReason::Ended)
         },
     );
-    let mut request = impatient(2, PriorityClass::Training);
+    let mut request = non_waiting_request(2, PriorityClass::Training);
     request.max_new_tokens = 20_000;
-    // Half of the bound does not fit into the KV memory.
-    assert!(permits(&home.admit(at(2), request)).is_empty());
+    // The projection is half of the bound, which does not fit into the KV budget.
+    assert!(permits(&admission.admit(at_seconds(2), request)).is_empty());
 }
--- a/crates/placement/tests/live_engines.rs
+++ b/crates/placement/tests/live_engines.rs
@@ -1,4 +1,4 @@
-//! Which engines are kept for live calls.
+//! Tests of the selection of the engines that live calls try first.
 
 use havenstage_placement::live_engines::live_engines;
 use havenstage_types::ids::EngineName;
@@ -10,17 +10,17 @@
 }
 
 #[test]
-fn every_node_keeps_the_same_engines_whatever_their_order() {
+fn the_selection_does_not_depend_on_the_order_of_the_engines() {
     let names = engines(9);
     let mut reversed = names.clone();
     reversed.reverse();
-    let kept = live_engines(&names, 20);
-    assert_eq!(kept.len(), 2);
-    assert_eq!(kept, live_engines(&reversed, 20));
+    let selected = live_engines(&names, 20);
+    assert_eq!(selected.len(), 2);
+    assert_eq!(selected, live_engines(&reversed, 20));
 }
 
 #[test]
-fn very_small_pools_and_zero_percent_keep_none() {
+fn very_small_pools_and_zero_percent_select_none() {
     assert!(live_engines(&engines(2), 20).is_empty());
     assert!(live_engines(&engines(9), 0).is_empty());
     assert_eq!(live_engines(&engines(3), 20).len(), 1);
--- a/crates/placement/tests/policies.rs
+++ b/crates/placement/tests/policies.rs
@@ -1,4 +1,4 @@
-//! What the placement policies promise.
+//! Tests of the rankings of the placement policies.
 
 use std::collections::BTreeSet;
 
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn equal_seeds_rank_alike_and_give_distinct_candidates() {
+fn equal_seeds_give_equal_rankings_of_distinct_candidates() {
     let engines = engines(20);
     for name in ALL_POLICIES {
         let mut left = build(name, &PolicySettings::default(), 9);
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn engines_that_may_not_serve_the_work_are_left_out() {
+fn engines_that_cannot_serve_the_request_are_excluded() {
     let mut engines = engines(3);
     engines[0].accepts_work = false;
     engines[1].version = Some(VersionNumber(3));
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn round_robin_gives_every_engine_its_turn() {
+fn round_robin_ranks_every_engine_first_once() {
     let engines = engines(5);
     let mut policy = build(PolicyName::RoundRobin, &PolicySettings::default(), 2);
     let firsts: BTreeSet<_> = (0..5)
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn affinity_keeps_a_prefix_on_few_engines_of_an_idle_pool() {
+fn affinity_sends_a_prefix_to_few_engines_of_an_idle_pool() {
     let engines = engines(40);
     let mut policy = affinity();
     let mut used = BTreeSet::new();
@@ -136,7 +136,7 @@
     }
     assert!(
         used.len() >= 30,
-        "prefixes spread over the pool, not over {}",
+        "prefixes must spread over at least 30 engines, but used {}",
         used.len()
     );
 }
@@ -173,15 +173,15 @@
         let mean = (subject + 1) as f64 / 10.0;
         assert!(
             f64::from(load) <= mean * 1.25 + 2.0,
-            "{load} of a mean of {mean}"
+            "load {load} at a mean load of {mean}"
         );
     }
 }
 
 #[test]
-fn affinity_keeps_the_other_engines_of_a_prefix_when_one_goes() {
+fn affinity_keeps_the_other_engines_of_a_prefix_when_one_is_removed() {
     let mut engines = engines(20);
-    let gone = engines[7].name.clone();
+    let removed = engines[7].name.clone();
     let prefix_engines = |engines: &[EngineView], prefix| -> BTreeSet<EngineName> {
         let ranked = affinity().rank(&request(1, prefix), engines);
         let matches = ranked
@@ -194,10 +194,10 @@
         .collect();
     engines.remove(7);
     for (prefix, mut kept) in (0..200).zip(before) {
-        let had_gone = kept.remove(&gone);
+        let had_removed = kept.remove(&removed);
         let after = prefix_engines(&engines, prefix);
         assert!(after.is_superset(&kept));
-        assert!(had_gone || after == kept);
+        assert!(had_removed || after == kept);
     }
 }
 
--- a/crates/placement/tests/retries_limits_and_stragglers.rs
+++ b/crates/placement/tests/retries_limits_and_stragglers.rs
@@ -1,4 +1,4 @@
-//! Retry budgets, backoff, limits on callers, and the order of a step's samples.
+//! Tests of retry budgets, backoff, caller limits and the dispatch order of samples.
 
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn successes_and_retries_are_forgotten_after_their_time() {
+fn successes_and_retries_expire_after_the_ttl() {
     let mut budget = RetryBudget::new(RetryBudgetSettings::default());
     for _ in 0..1_000 {
         budget.record_success(Moment(0));
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn backoff_draws_from_a_doubling_range_up_to_its_bound() {
+fn backoff_delays_come_from_a_doubling_range_up_to_the_maximum() {
     let settings = BackoffSettings {
         base: Duration::from_millis(100),
         max: Duration::from_secs(1),
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_caller_is_limited_without_touching_others() {
+fn the_limit_of_one_caller_does_not_affect_others() {
     let mut limiter = InFlightLimiter::default();
     let (busy, other) = (CallerName::new("busy"), CallerName::new("other"));
     limiter.try_start(&busy, Some(2)).unwrap();
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn lengths_are_expected_by_group_then_by_all_then_by_the_bound() {
+fn lengths_are_estimated_from_the_group_then_all_groups_then_the_bound() {
     let mut lengths = LengthEstimator::default();
     assert_eq!(lengths.expected_tokens(1, 500), 500);
     lengths.observe(1, 300);
--- a/crates/placement/tests/support/mod.rs
+++ b/crates/placement/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! Builders and readers shared by the admission tests.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+//! Builders of test data and accessors of actions, shared by the admission tests.
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 use std::time::Duration;
 
@@ -27,7 +27,7 @@
     }
 }
 
-pub fn home(max_running: u32) -> EngineAdmission {
+pub fn new_admission(max_running: u32) -> EngineAdmission {
     EngineAdmission::new(engine(), limits(max_running))
 }
 
@@ -38,7 +38,7 @@
     }
 }
 
-pub fn ask(sequence: u64, class: PriorityClass) -> AdmitRequest {
+pub fn admit_request(sequence: u64, class: PriorityClass) -> AdmitRequest {
     AdmitRequest {
         attempt: attempt(sequence),
         engine: engine(),
@@ -73,7 +73,7 @@
     }
 }
 
-pub fn at(seconds: u64) -> Moment {
+pub fn at_seconds(seconds: u64) -> Moment {
     Moment(seconds * 1000)
 }
 
@@ -116,7 +116,7 @@
         .collect()
 }
 
-/// Asserts that `actions` refuse exactly `sequence`, as not run, for `reason`.
+/// Asserts that `actions` contain exactly one refusal: of `sequence`, as not run, for `reason`.
 pub fn assert_refused(actions: &[AdmissionAction], sequence: u64, reason: &RefusalReason) {
     let refusals = refusals(actions);
     assert_eq!(refusals.len(), 1, "{actions:?}");
--- a/crates/placement/tests/swap_waves.rs
+++ b/crates/placement/tests/swap_waves.rs
@@ -1,4 +1,4 @@
-//! Swap waves keep the weight store's limit and finish in time.
+//! Tests that staggered swaps respect the weight store's rate limit and finish in time.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -28,22 +28,22 @@
     assert!(*delays.last().unwrap() + Duration::from_secs(2) <= Duration::from_secs(8));
 }
 
-/// The most delays that lie within any span of this length.
-fn most_within(delays: &[Duration], span: Duration) -> usize {
+/// Maximum number of delays within any time span of length `span`.
+fn max_within(delays: &[Duration], span: Duration) -> usize {
     let within =
         |index: usize| delays[index..].partition_point(|delay| *delay < delays[index] + span);
     (0..delays.len()).map(within).max().unwrap()
 }
 
 #[test]
-fn no_second_holds_more_starts_than_the_store_allows() {
+fn no_second_contains_more_starts_than_the_store_allows() {
     for fetches_per_second in [20.0, 120.0, 1_000.0] {
         let settings = WaveSettings {
             fetches_per_second,
             ..WaveSettings::default()
         };
         let delays = sorted_delays(680, 3, &settings);
-        let starts = most_within(&delays, Duration::from_secs(1));
+        let starts = max_within(&delays, Duration::from_secs(1));
         assert!(
             starts <= fetches_per_second as usize + 1,
             "{starts} starts in a second"
@@ -52,14 +52,14 @@
 }
 
 #[test]
-fn only_a_quarter_of_the_engines_swap_at_once() {
+fn at_most_a_quarter_of_the_engines_swap_at_once() {
     let delays = sorted_delays(680, 3, &WaveSettings::default());
-    let swapping = most_within(&delays, Duration::from_millis(1_500));
+    let swapping = max_within(&delays, Duration::from_millis(1_500));
     assert!(swapping <= 680 / 4 + 1, "{swapping} engines swap at once");
 }
 
 #[test]
-fn the_order_is_alike_at_every_home_and_different_for_every_order() {
+fn the_swap_sequence_is_the_same_at_every_home_node_and_differs_between_tokens() {
     let settings = WaveSettings::default();
     let engines = engines(12);
     let mut reversed = engines.clone();
@@ -77,6 +77,6 @@
     }
     assert!(
         first.len() > 6,
-        "the first to swap differs from order to order"
+        "the first engine to swap must differ between fencing tokens"
     );
 }
