--- a/crates/placement/src/admission/advance.rs
+++ b/crates/placement/src/admission/advance.rs
@@ -149,7 +149,7 @@
 
     /// Updates the health of the engine from the end of a permit. Opens the circuit breaker when
     /// too many attempts in a row could not reach the engine.
-    pub(super) fn record_end(
+    pub(super) fn record_permit_end(
         &mut self,
         held: &HeldPermit,
         end: ReleaseReason,
--- a/crates/placement/src/admission/engine.rs
+++ b/crates/placement/src/admission/engine.rs
@@ -93,7 +93,7 @@
             if let Some(tokens) = request.generated_tokens.filter(|_| !held.is_live) {
                 self.observe_training_length(tokens);
             }
-            self.record_end(&held, request.end, &mut actions);
+            self.record_permit_end(&held, request.end, &mut actions);
         }
         actions.extend(self.advance(now));
         actions
--- a/crates/placement/src/admission/preemption.rs
+++ b/crates/placement/src/admission/preemption.rs
@@ -23,9 +23,9 @@
         max_running: u32,
         kv_budget: u64,
     ) -> Self {
-        let preempted = permits.values().filter(|held| held.preempted);
+        let preempted_permits = permits.values().filter(|held| held.preempted);
         let (preempted_slots, preempted_kv) =
-            preempted.fold((0, 0), |(slots, kv), held| (slots + 1, kv + held.kv_tokens));
+            preempted_permits.fold((0, 0), |(slots, kv), held| (slots + 1, kv + held.kv_tokens));
         let wanted_slots = u64::from(permits.running()) - preempted_slots + u64::from(waiting);
         let wanted_kv = permits.kv_tokens() - preempted_kv + waiting_kv_tokens;
         Self {
--- a/crates/placement/tests/admission_health.rs
+++ b/crates/placement/tests/admission_health.rs
@@ -18,7 +18,7 @@
     RefusalReason::EngineDraining(engine())
 }
 
-fn release_and_grants(
+fn granted_after_release(
     admission: &mut EngineAdmission,
     seconds: u64,
     sequence: u64,
@@ -91,7 +91,7 @@
     for sequence in 1..=4 {
         admission.admit(at_seconds(0), admit_request(sequence, Live));
     }
-    release_and_grants(&mut admission, 1, 1, ReleaseReason::EngineUnreachable);
+    granted_after_release(&mut admission, 1, 1, ReleaseReason::EngineUnreachable);
     assert!(admission.unreachable(at_seconds(1)).is_empty());
     let actions = admission.release(
         at_seconds(1),
@@ -136,18 +136,18 @@
 fn after_a_failure_work_is_admitted_one_at_a_time_until_five_successes() {
     let mut admission = new_admission(8);
     admission.admit(at_seconds(0), admit_request(1, Live));
-    release_and_grants(&mut admission, 1, 1, ReleaseReason::EngineFailed);
+    granted_after_release(&mut admission, 1, 1, ReleaseReason::EngineFailed);
     for sequence in 2..=8 {
         admission.admit(at_seconds(1), admit_request(sequence, Live));
     }
     assert_eq!(admission.in_flight(), 1);
     for sequence in 2..=5 {
-        let next = release_and_grants(&mut admission, 2, sequence, ReleaseReason::Ended);
+        let next = granted_after_release(&mut admission, 2, sequence, ReleaseReason::Ended);
         assert_eq!(next, [sequence + 1]);
     }
     assert!(admission.is_recovering());
     assert_eq!(
-        release_and_grants(&mut admission, 3, 6, ReleaseReason::Ended),
+        granted_after_release(&mut admission, 3, 6, ReleaseReason::Ended),
         [7, 8]
     );
     assert!(!admission.is_recovering());
@@ -157,16 +157,16 @@
 fn a_failure_during_recovery_restarts_it() {
     let mut admission = new_admission(8);
     admission.admit(at_seconds(0), admit_request(1, Live));
-    release_and_grants(&mut admission, 1, 1, ReleaseReason::EngineFailed);
+    granted_after_release(&mut admission, 1, 1, ReleaseReason::EngineFailed);
     for sequence in 2..=5 {
         admission.admit(at_seconds(1), admit_request(sequence, Live));
-        release_and_grants(&mut admission, 1, sequence, ReleaseReason::Ended);
+        granted_after_release(&mut admission, 1, sequence, ReleaseReason::Ended);
     }
     admission.admit(at_seconds(2), admit_request(6, Live));
-    release_and_grants(&mut admission, 2, 6, ReleaseReason::EngineFailed);
+    granted_after_release(&mut admission, 2, 6, ReleaseReason::EngineFailed);
     admission.admit(at_seconds(3), admit_request(7, Live));
     assert_eq!(
-        release_and_grants(&mut admission, 3, 7, ReleaseReason::Ended),
+        granted_after_release(&mut admission, 3, 7, ReleaseReason::Ended),
         [0; 0]
     );
     assert!(admission.is_recovering());
@@ -183,8 +183,8 @@
     assert!(admission.is_recovering());
     for sequence in 4..=8 {
         admission.admit(at_seconds(2), admit_request(sequence, Live));
-        release_and_grants(&mut admission, 2, sequence, ReleaseReason::Ended);
-        release_and_grants(&mut admission, 2, sequence - 3, ReleaseReason::EngineFailed);
+        granted_after_release(&mut admission, 2, sequence, ReleaseReason::Ended);
+        granted_after_release(&mut admission, 2, sequence - 3, ReleaseReason::EngineFailed);
     }
     assert!(!admission.is_recovering());
 }
