--- a/crates/node/src/homes/poller.rs
+++ b/crates/node/src/homes/poller.rs
@@ -43,9 +43,9 @@
     homes.with_home(&endpoint.name, |home| match &report {
         Ok(report) => {
             home.note_report(asked_at);
-            home.admission.report(now, report)
+            home.admission.record_report(now, report)
         }
-        Err(_unreachable) => home.admission.unreachable(now),
+        Err(_unreachable) => home.admission.record_unreachable(now),
     });
     report.ok()
 }
@@ -166,7 +166,7 @@
         Ok(()) => {
             if homes.context.settings.placement.live_avoids_swaps {
                 homes.with_home(&endpoint.name, |home| {
-                    home.admission.swap_ordered(due.version);
+                    home.admission.record_swap_order(due.version);
                     Vec::new()
                 });
             }
--- a/crates/placement/src/admission/engine.rs
+++ b/crates/placement/src/admission/engine.rs
@@ -115,13 +115,13 @@
     /// Records that the engine was ordered to load `version`. Until the engine reports that version
     /// or a failed swap, live requests with zero `patience` are not granted, so that they try
     /// another engine: an engine serves nothing while it loads.
-    pub fn swap_ordered(&mut self, version: VersionNumber) {
+    pub fn record_swap_order(&mut self, version: VersionNumber) {
         self.swapping_to = Some(version);
     }
 
     /// Applies a load report of the engine: its version, KV use, boot id and whether it is leaving.
     /// A report also closes the circuit breaker.
-    pub fn report(&mut self, now: Moment, report: &LoadReport) -> Vec<AdmissionAction> {
+    pub fn record_report(&mut self, now: Moment, report: &LoadReport) -> Vec<AdmissionAction> {
         let mut actions = Vec::new();
         self.version = report.version;
         let has_ended =
@@ -153,7 +153,7 @@
     /// Counts a failed attempt of the home node to fetch a report. After
     /// [`AdmissionLimits::unreachable_failures`] failures in a row the engine is stopped as
     /// unreachable until it reports again.
-    pub fn unreachable(&mut self, now: Moment) -> Vec<AdmissionAction> {
+    pub fn record_unreachable(&mut self, now: Moment) -> Vec<AdmissionAction> {
         if self
             .health
             .count_unreachable(self.limits.unreachable_failures)
--- a/crates/placement/tests/admission_health.rs
+++ b/crates/placement/tests/admission_health.rs
@@ -75,13 +75,13 @@
     let mut admission = new_admission(1);
     let mut leaving = report(1);
     leaving.leaving = true;
-    admission.report(at_seconds(0), &leaving);
+    admission.record_report(at_seconds(0), &leaving);
     assert_refused(
         &admission.admit(at_seconds(0), admit_request(1, Live)),
         1,
         &draining(),
     );
-    admission.report(at_seconds(1), &report(1));
+    admission.record_report(at_seconds(1), &report(1));
     assert!(!admission.is_stopped());
 }
 
@@ -92,7 +92,7 @@
         admission.admit(at_seconds(0), admit_request(sequence, Live));
     }
     granted_after_release(&mut admission, 1, 1, ReleaseReason::EngineUnreachable);
-    assert!(admission.unreachable(at_seconds(1)).is_empty());
+    assert!(admission.record_unreachable(at_seconds(1)).is_empty());
     let actions = admission.release(
         at_seconds(1),
         &release(attempt(2), ReleaseReason::EngineUnreachable),
@@ -111,7 +111,7 @@
     );
 
     assert_eq!(
-        admission.report(at_seconds(3), &report(1)),
+        admission.record_report(at_seconds(3), &report(1)),
         [AdmissionAction::EngineResumed]
     );
     assert_eq!(
@@ -125,9 +125,9 @@
 fn a_report_between_failures_keeps_the_circuit_breaker_closed() {
     let mut admission = new_admission(8);
     for second in 0..10 {
-        admission.unreachable(at_seconds(second));
-        admission.unreachable(at_seconds(second));
-        admission.report(at_seconds(second), &report(1));
+        admission.record_unreachable(at_seconds(second));
+        admission.record_unreachable(at_seconds(second));
+        admission.record_report(at_seconds(second), &report(1));
     }
     assert!(!admission.is_stopped());
 }
@@ -178,8 +178,8 @@
     for sequence in 1..=3 {
         admission.admit(at_seconds(0), admit_request(sequence, Live));
     }
-    admission.report(at_seconds(0), &report(1));
-    admission.report(at_seconds(1), &report(2));
+    admission.record_report(at_seconds(0), &report(1));
+    admission.record_report(at_seconds(1), &report(2));
     assert!(admission.is_recovering());
     for sequence in 4..=8 {
         admission.admit(at_seconds(2), admit_request(sequence, Live));
@@ -192,31 +192,31 @@
 #[test]
 fn long_requests_count_as_successes_after_reports_without_pressure() {
     let mut admission = new_admission(8);
-    admission.report(at_seconds(0), &report(1));
-    admission.report(at_seconds(1), &report(2));
+    admission.record_report(at_seconds(0), &report(1));
+    admission.record_report(at_seconds(1), &report(2));
     for sequence in 1..=7 {
         let mut request = admit_request(sequence, Live);
         request.patience = Duration::from_secs(60);
         admission.admit(at_seconds(1), request);
     }
     assert!(
-        granted(&admission.report(at_seconds(2), &report(2))).is_empty(),
+        granted(&admission.record_report(at_seconds(2), &report(2))).is_empty(),
         "the probe has not run long enough"
     );
     let mut under_pressure = report(2);
     under_pressure.kv_used_tokens = 9_000;
     assert!(
-        granted(&admission.report(at_seconds(5), &under_pressure)).is_empty(),
+        granted(&admission.record_report(at_seconds(5), &under_pressure)).is_empty(),
         "under pressure"
     );
     for round in 1..=4 {
         assert_eq!(
-            granted(&admission.report(at_seconds(5 + 3 * round), &report(2))).len(),
+            granted(&admission.record_report(at_seconds(5 + 3 * round), &report(2))).len(),
             1
         );
     }
     assert_eq!(
-        granted(&admission.report(at_seconds(20), &report(2))),
+        granted(&admission.record_report(at_seconds(20), &report(2))),
         [6, 7]
     );
 }
@@ -225,8 +225,8 @@
 fn live_work_preempts_nothing_while_the_engine_is_recovering() {
     let mut admission = new_admission(1);
     admission.admit(at_seconds(0), admit_request(1, Training));
-    admission.report(at_seconds(0), &report(1));
-    admission.report(at_seconds(1), &report(2));
+    admission.record_report(at_seconds(0), &report(1));
+    admission.record_report(at_seconds(1), &report(2));
     assert!(preempted(&admission.admit(at_seconds(1), admit_request(2, Live))).is_empty());
 }
 
@@ -236,13 +236,13 @@
     admission.admit(at_seconds(0), admit_request(1, Live));
     let mut under_pressure = report(1);
     under_pressure.kv_used_tokens = 9_000;
-    admission.report(at_seconds(1), &under_pressure);
+    admission.record_report(at_seconds(1), &under_pressure);
     assert!(granted(&admission.admit(at_seconds(1), admit_request(2, Training))).is_empty());
     assert_eq!(
         granted(&admission.admit(at_seconds(1), admit_request(3, Live))),
         [3]
     );
-    let actions = admission.report(at_seconds(2), &report(1));
+    let actions = admission.record_report(at_seconds(2), &report(1));
     assert_eq!(granted(&actions), [2]);
     assert!(refusals(&actions).is_empty());
 }
--- a/crates/placement/tests/admission_invariants.rs
+++ b/crates/placement/tests/admission_invariants.rs
@@ -129,9 +129,9 @@
                 let mut report = report(boot);
                 report.kv_used_tokens = kv_used;
                 report.leaving = leaving;
-                self.admission.report(now, &report)
+                self.admission.record_report(now, &report)
             }
-            Event::Unreachable => self.admission.unreachable(now),
+            Event::Unreachable => self.admission.record_unreachable(now),
             Event::Stop => self.admission.stop(now, EngineStopReason::Operator),
             Event::Resume => self.admission.resume(now, EngineStopReason::Operator),
             Event::DropHolder(node) => {
--- a/crates/placement/tests/admission_queue_and_preemption.rs
+++ b/crates/placement/tests/admission_queue_and_preemption.rs
@@ -198,7 +198,7 @@
         1,
         &RefusalReason::VersionTooOld,
     );
-    admission.report(at_seconds(1), &report(1));
+    admission.record_report(at_seconds(1), &report(1));
     assert_refused(
         &admission.admit(at_seconds(1), bounded.clone()),
         1,
--- a/crates/placement/tests/admission_swaps_and_lengths.rs
+++ b/crates/placement/tests/admission_swaps_and_lengths.rs
@@ -23,8 +23,8 @@
 #[test]
 fn live_work_that_does_not_wait_is_refused_by_an_engine_about_to_load() {
     let mut admission = new_admission(4);
-    admission.report(at_seconds(0), &report(1));
-    admission.swap_ordered(VersionNumber(8));
+    admission.record_report(at_seconds(0), &report(1));
+    admission.record_swap_order(VersionNumber(8));
     let refused = admission.admit(at_seconds(1), non_waiting_request(1, PriorityClass::Live));
     assert!(permits(&refused).is_empty());
     let waiting = admission.admit(at_seconds(1), admit_request(2, PriorityClass::Live));
@@ -40,16 +40,16 @@
 fn live_work_is_admitted_again_when_a_swap_has_ended() {
     for (version, failed) in [(8, None), (7, Some(VersionNumber(8)))] {
         let mut admission = new_admission(4);
-        admission.report(at_seconds(0), &report(1));
-        admission.swap_ordered(VersionNumber(8));
+        admission.record_report(at_seconds(0), &report(1));
+        admission.record_swap_order(VersionNumber(8));
         // A report that still shows the state before the order changes nothing.
-        admission.report(at_seconds(1), &report(1));
+        admission.record_report(at_seconds(1), &report(1));
         let early = admission.admit(at_seconds(1), non_waiting_request(1, PriorityClass::Live));
         assert!(permits(&early).is_empty());
         let mut ended = report(1);
         ended.version = Some(VersionNumber(version));
         ended.failed_swap = failed;
-        admission.report(at_seconds(2), &ended);
+        admission.record_report(at_seconds(2), &ended);
         let late = admission.admit(at_seconds(2), non_waiting_request(2, PriorityClass::Live));
         assert_eq!(permits(&late).len(), 1);
     }
@@ -65,7 +65,7 @@
         ..limits(100)
     };
     let mut admission = EngineAdmission::new(engine(), limits);
-    admission.report(at_seconds(0), &report(1));
+    admission.record_report(at_seconds(0), &report(1));
     admission.admit(at_seconds(0), admit_request(1_000, PriorityClass::Training));
     admission.release(
         at_seconds(1),
@@ -102,7 +102,7 @@
 #[test]
 fn lengths_of_live_outputs_do_not_change_the_training_projection() {
     let mut admission = new_admission(4);
-    admission.report(at_seconds(0), &report(1));
+    admission.record_report(at_seconds(0), &report(1));
     admission.admit(at_seconds(0), admit_request(1, PriorityClass::Live));
     admission.release(
         at_seconds(1),
