--- a/crates/ledger/src/claims.rs
+++ b/crates/ledger/src/claims.rs
@@ -1,22 +1,25 @@
-//! The fold of a claim stream: which attempt may run a not-repeatable request.
+//! The fold of a claim stream. It decides which attempt may run a request that is not repeatable.
 //!
-//! Rules, each decided by offset order alone:
+//! Each rule depends only on the order of the offsets:
 //!
-//! * The first claim for a free key holds it. A claim by another attempt while the key is held
-//!   loses, and its attempt is closed for good: it does not queue. When the holder abandons, the
-//!   next *new* attempt's claim wins. Once an attempt's claim has lost it can therefore never come
-//!   to hold the key unnoticed, not even when a copy of the claim is appended late.
-//!   An attempt that was told [`ClaimVerdict::HeldBy`] before its own claim was read back, and
-//!   goes away, must be abandoned by its claimant, since that claim may still arrive first.
-//! * An abandoned attempt is closed for good, also when its abandonment is appended before its
-//!   claim. An abandonment counts as long as the attempt has no outcome; the claimant writes it
-//!   only when it has not dispatched and never will.
-//! * Only the holder's first outcome counts.
+//! * The first claim for a free key makes its attempt the holder of the key. A claim by another
+//!   attempt while the key is held is rejected, and that attempt is closed permanently: it does
+//!   not wait in a queue. When the holder abandons the key, the next claim by an attempt that is
+//!   not closed gets it. An attempt whose claim was rejected can therefore never become the holder
+//!   unnoticed, even when a delayed duplicate of its claim is appended.
+//!   A claimant that received [`ClaimVerdict::HeldBy`] before it read back its own claim, and that
+//!   stops waiting, must abandon its attempt, since its claim may still arrive while the key is
+//!   free.
+//! * An abandoned attempt is closed permanently, even when its abandonment is appended before its
+//!   claim. An abandonment is effective as long as the attempt has no outcome. The claimant
+//!   appends it only when it has not dispatched the request and never will.
+//! * Only the first outcome of the holder is effective.
 //!
-//! At-most-once horizon: a key is forgotten [`ClaimLedgerSettings::retention_records`] records
-//! after its claim or outcome. Up to there no second attempt is granted a key whose holder did not
-//! abandon; a repeat that comes later runs again. A holder that was granted but has not dispatched
-//! must not dispatch once that many records have followed its claim.
+//! The at-most-once guarantee is limited: a key is forgotten
+//! [`ClaimLedgerSettings::retention_records`] records after its claim or outcome. Until then no
+//! second attempt is granted a key whose holder did not abandon it. A repeat of the request after
+//! that runs again. A holder that was granted the key but has not dispatched the request must not
+//! dispatch it once that many records have followed its claim.
 
 mod entry;
 mod retention;
@@ -39,20 +42,26 @@
 pub struct ClaimLedger {
     settings: ClaimLedgerSettings,
     position: StreamPosition,
-    /// Number of the next record that counts for retention.
+    /// Number that the next record gets; retention is measured in these numbers.
     next_number: RecordNumber,
     keys: BTreeMap<IdempotencyKey, KeyEntry>,
+    /// Claims, abandonments and outcomes whose keys are not yet due to be forgotten.
     remembered: RetentionQueue,
+    /// Outcomes whose answers are not yet due to be forgotten.
     answers: RetentionQueue,
 }
 
-/// A [`ClaimLedger`] in a form to be sent to another node, with its settings.
+/// The state and the settings of a [`ClaimLedger`], in a form that can be sent to another node.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ClaimSnapshot(ClaimLedger);
 
 impl ClaimLedger {
-    /// An empty ledger at offset 0.
+    /// Creates an empty ledger at offset 0.
+    ///
+    /// # Errors
+    ///
+    /// [`InvalidClaimLedgerSettings`] when `settings` are out of range.
     pub fn new(settings: ClaimLedgerSettings) -> Result<Self, InvalidClaimLedgerSettings> {
         settings.validate()?;
         Ok(Self {
@@ -61,12 +70,12 @@
         })
     }
 
-    /// Goes on from a snapshot.
+    /// Restores the ledger from a snapshot.
     pub fn from_snapshot(snapshot: ClaimSnapshot) -> Self {
         snapshot.0
     }
 
-    /// The whole state, to go on from elsewhere.
+    /// Copies the whole state, from which another reader can continue.
     pub fn snapshot(&self) -> ClaimSnapshot {
         ClaimSnapshot(self.clone())
     }
@@ -76,8 +85,11 @@
         self.position.next()
     }
 
-    /// Applies the record at `offset`. A record applied before is ignored; a record beyond the
-    /// next offset is a [`FoldError::Gap`].
+    /// Applies the record at `offset`. A record that was applied before is ignored.
+    ///
+    /// # Errors
+    ///
+    /// [`FoldError::Gap`] when `offset` is beyond the next offset; nothing is changed then.
     pub fn apply(&mut self, offset: LogOffset, record: &ClaimRecord) -> Result<(), FoldError> {
         if self.position.advance(offset)? == Arrival::Duplicate {
             return Ok(());
@@ -94,7 +106,12 @@
         Ok(())
     }
 
-    /// Moves past a record that cannot be decoded; it changes nothing else.
+    /// Moves past a record that cannot be decoded. The record counts for retention and has no
+    /// other effect.
+    ///
+    /// # Errors
+    ///
+    /// [`FoldError::Gap`] when `offset` is beyond the next offset; nothing is changed then.
     pub fn skip(&mut self, offset: LogOffset) -> Result<(), FoldError> {
         if self.position.advance(offset)? == Arrival::New {
             self.count_record();
@@ -102,11 +119,12 @@
         Ok(())
     }
 
-    /// What `attempt` may do, as of the records applied.
+    /// Returns what `attempt` may do, according to the records applied.
     ///
-    /// `Granted` comes only after the attempt's own claim was applied. `Abandoned` means that the
-    /// attempt will never hold the key and that nobody holds it now: a new attempt may claim.
-    /// `None` means that nobody holds the key and this attempt's claim has not been seen.
+    /// `Granted` is returned only after the attempt's own claim was applied. `Abandoned` means that
+    /// the attempt will never hold the key and that no attempt holds it now: a new attempt may
+    /// claim it. `None` means that no attempt holds the key and that the ledger remembers no record
+    /// that closed `attempt`.
     pub fn verdict(
         &self,
         key: &IdempotencyKey,
@@ -116,13 +134,13 @@
         self.keys.get(key)?.verdict(attempt, fingerprint)
     }
 
-    /// The attempt that holds the key, finished or not.
+    /// The attempt that holds the key, whether or not it has an outcome.
     pub fn holder(&self, key: &IdempotencyKey) -> Option<AttemptId> {
         let entry = self.keys.get(key)?;
         entry.holder.as_ref().map(|holder| holder.attempt)
     }
 
-    /// Number of keys remembered.
+    /// Number of keys that the ledger remembers.
     pub fn key_count(&self) -> usize {
         self.keys.len()
     }
@@ -144,8 +162,8 @@
     fn complete(&mut self, key: &IdempotencyKey, attempt: AttemptId, outcome: &ClaimOutcome) {
         let number = self.count_record();
         let entry = self.keys.get_mut(key);
-        let is_kept = entry.is_some_and(|entry| entry.complete(number, attempt, outcome));
-        if !is_kept {
+        let is_first_outcome = entry.is_some_and(|entry| entry.complete(number, attempt, outcome));
+        if !is_first_outcome {
             return;
         }
         self.remembered.push(number, key, attempt);
@@ -154,7 +172,7 @@
         }
     }
 
-    /// Takes the next record number and forgets what has thereby grown too old.
+    /// Assigns the next record number, and forgets keys and answers whose retention ends with it.
     fn count_record(&mut self) -> RecordNumber {
         let number = self.next_number;
         self.next_number = RecordNumber(number.0 + 1);
--- a/crates/ledger/src/claims/entry.rs
+++ b/crates/ledger/src/claims/entry.rs
@@ -1,4 +1,4 @@
-//! What is remembered of one idempotency key.
+//! The state of one idempotency key.
 
 use std::collections::BTreeMap;
 
@@ -9,27 +9,29 @@
 
 use super::retention::RecordNumber;
 
-/// The attempt that may run a request.
+/// The attempt that may run the request of a key, and its outcome once it has one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Holder {
     pub(super) attempt: AttemptId,
     fingerprint: u64,
     outcome: Option<ClaimOutcome>,
-    /// Number of the claim or, once there is one, of the outcome; retention counts from here.
+    /// Record number of the claim or, once there is one, of the outcome. Retention starts here.
     recorded_at: RecordNumber,
 }
 
-/// What is remembered of one key: who holds it, and which attempts never will.
+/// The attempt that holds a key, and the attempts that can never hold it.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub(super) struct KeyEntry {
     pub(super) holder: Option<Holder>,
-    /// Attempts that were abandoned or lost, with the number of the last record that says so.
+    /// Attempts that were abandoned or whose claim was rejected, with the number of the last record
+    /// that closed them.
     closed: BTreeMap<AttemptId, RecordNumber>,
 }
 
 impl KeyEntry {
-    /// Applies a claim: it takes a free key, and else closes its attempt for good. A late copy of a
-    /// closed attempt's claim renews the memory that it is closed.
+    /// Applies a claim. It gets a free key; if another attempt holds the key, the claiming attempt
+    /// is closed permanently. A delayed duplicate of a closed attempt's claim restarts the retention
+    /// of the entry that closes the attempt.
     pub(super) fn claim(&mut self, number: RecordNumber, claim: &Claim) {
         if self.is_closed(claim.attempt) {
             self.close(number, claim.attempt);
@@ -49,8 +51,8 @@
         }
     }
 
-    /// Closes an attempt and frees the key if the attempt holds it. An attempt with an outcome
-    /// has run and can no longer be abandoned.
+    /// Closes an attempt, and frees the key if the attempt holds it. A holder with an outcome can
+    /// no longer be abandoned, since it has run.
     pub(super) fn abandon(&mut self, number: RecordNumber, attempt: AttemptId) {
         if let Some(holder) = self.held_by(attempt) {
             if holder.outcome.is_some() {
@@ -61,7 +63,7 @@
         self.close(number, attempt);
     }
 
-    /// Keeps the first outcome of the holder; returns whether this is it.
+    /// Stores the outcome if it is the first one of the holder. Returns whether it was stored.
     pub(super) fn complete(
         &mut self,
         number: RecordNumber,
@@ -79,7 +81,7 @@
         true
     }
 
-    /// Forgets what the record `number` said about `attempt`, unless a later record renewed it.
+    /// Forgets the effect of record `number` on `attempt`, unless a later record has renewed it.
     pub(super) fn forget(&mut self, number: RecordNumber, attempt: AttemptId) {
         if self
             .held_by(attempt)
@@ -92,7 +94,7 @@
         }
     }
 
-    /// Forgets the text of the holder's answer but not that it ran.
+    /// Forgets the text of the answer of `attempt` if it holds the key, but not that it ran.
     pub(super) fn forget_answer(&mut self, attempt: AttemptId) {
         if let Some(holder) = self.held_by(attempt) {
             holder.outcome = Some(ClaimOutcome::Failed(Refusal {
@@ -103,7 +105,8 @@
         }
     }
 
-    /// What `attempt` may do.
+    /// Returns what `attempt` may do, or `None` when no attempt holds the key and `attempt` is not
+    /// closed.
     pub(super) fn verdict(&self, attempt: AttemptId, fingerprint: u64) -> Option<ClaimVerdict> {
         let Some(holder) = &self.holder else {
             return self.is_closed(attempt).then_some(ClaimVerdict::Abandoned);
@@ -120,7 +123,7 @@
         Some(ClaimVerdict::HeldBy(holder.attempt))
     }
 
-    /// Whether nothing is remembered.
+    /// Whether the key has neither a holder nor closed attempts, so that the entry can be removed.
     pub(super) fn is_empty(&self) -> bool {
         self.holder.is_none() && self.closed.is_empty()
     }
--- a/crates/ledger/src/claims/retention.rs
+++ b/crates/ledger/src/claims/retention.rs
@@ -1,17 +1,18 @@
-//! Queues of what is to be forgotten, in the order of the records.
+//! Queues of the entries that are to be forgotten, in record order.
 
 use std::collections::VecDeque;
 
 use havenstage_types::ids::{AttemptId, IdempotencyKey};
 use serde::{Deserialize, Serialize};
 
-/// Number of a record among those that count for retention. Every reader counts alike, whether an
-/// entry of a group reaches it from the log or from the group.
+/// Number of a record of the stream, counted from 0. The ledger counts every record that it applies
+/// or skips, so all readers give a record the same number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
 #[serde(transparent)]
 pub(super) struct RecordNumber(pub(super) u64);
 
-/// Something a record said that is forgotten after a number of further records.
+/// The effect of one record on a key and an attempt, to be forgotten after a number of further
+/// records.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Remembered {
     pub(super) recorded_at: RecordNumber,
@@ -19,13 +20,13 @@
     pub(super) attempt: AttemptId,
 }
 
-/// What records said, oldest first.
+/// Effects of records that are to be forgotten, oldest first.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(transparent)]
 pub(super) struct RetentionQueue(VecDeque<Remembered>);
 
 impl RetentionQueue {
-    /// Notes what the newest record said.
+    /// Adds the effect of the newest record.
     pub(super) fn push(
         &mut self,
         recorded_at: RecordNumber,
@@ -39,8 +40,8 @@
         });
     }
 
-    /// Takes the oldest item if more than `retention_records` records, itself included, were read
-    /// since it was written.
+    /// Removes and returns the oldest entry if more than `retention_records` records were counted
+    /// from its own record on, that record included.
     pub(super) fn pop_expired(
         &mut self,
         next_number: RecordNumber,
--- a/crates/ledger/src/error.rs
+++ b/crates/ledger/src/error.rs
@@ -3,10 +3,10 @@
 use havenstage_types::ids::LogOffset;
 use thiserror::Error;
 
-/// Why a record could not be applied. The fold's state is unchanged.
+/// Why a record could not be applied. The state of the fold is unchanged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum FoldError {
-    /// Records between are missing; read again from `expected`.
+    /// Records are missing before the given one; the caller must read again from `expected`.
     #[error("expected the record at offset {expected}, got the one at {found}")]
     Gap {
         /// Offset of the next record to apply.
--- a/crates/ledger/src/jobs.rs
+++ b/crates/ledger/src/jobs.rs
@@ -1,18 +1,19 @@
-//! The fold of a job's stream: which samples reach the trainer.
+//! The fold of a job stream. It decides which samples reach the trainer.
 //!
-//! Rules, each decided by offset order alone:
+//! Each rule depends only on the order of the offsets:
 //!
-//! * Rules of the job are records of this stream ([`JobRecord::RulesChanged`]), not read from the
-//!   configuration, since two readers could apply a configuration change at different offsets of
-//!   this stream and then disagree about a sample. Before the first such record no step is open.
-//!   Only a higher configuration revision changes anything.
-//! * A changed staleness bound, prompt count, step limit or window counts from the record on. A
-//!   step that is open keeps its number of samples and its groups, and stays open.
-//! * The newest version is the highest one published or named by a well-formed sample: engines can
-//!   run a version before its record is read. It never falls.
-//! * The first sample for a slot that is well formed, for the slot's prompt and within the bound
-//!   at its own offset fills the slot. A rejected sample leaves its slot open.
-//! * A step is acknowledged only when it is complete and the oldest one open.
+//! * The rules of the job are records of this stream ([`JobRecord::RulesChanged`]). They are not
+//!   read from the configuration, since two readers could apply a configuration change at different
+//!   offsets of this stream and then disagree about a sample. Before the first such record no step
+//!   is open. A rules record is ignored unless its configuration revision is higher than that of
+//!   the rules in force.
+//! * A changed staleness bound, prompt count, step limit or number of steps ahead takes effect with
+//!   its record. A step that is open keeps its number of samples and its groups, and stays open.
+//! * The newest version is the highest one published or named by a well-formed sample, since
+//!   engines can run a version before its record is read. It never decreases.
+//! * A slot is filled by the first sample for it that is well formed, answers the slot's prompt and
+//!   is within the staleness bound at its own offset. A rejected sample leaves its slot open.
+//! * A step can be acknowledged only when it is complete and is the oldest open step.
 
 mod effect;
 mod sample_check;
@@ -31,10 +32,10 @@
 use crate::position::{Arrival, StreamPosition};
 use crate::staleness::StalenessBound;
 
-/// Most steps kept open at once, whatever the rules say; it bounds the ledger's memory.
+/// Maximum number of open steps, regardless of the rules. It bounds the memory of the ledger.
 pub const MAX_OPEN_STEPS: u32 = 256;
 
-/// Rules in force and the configuration revision they came from.
+/// Rules in force, and the configuration revision that set them.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct RulesInForce {
     revision: Revision,
@@ -54,16 +55,17 @@
     opened_groups: u64,
     /// Steps from `oldest_step` on, without gaps.
     open: BTreeMap<StepNumber, OpenStep>,
+    /// Whether a commit for a filled slot is accepted too; set only by the simulator.
     #[serde(skip)]
     counts_every_commit: bool,
 }
 
-/// A [`JobLedger`] in a form to be sent to another node.
+/// The state of a [`JobLedger`], in a form that can be sent to another node.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct JobSnapshot(JobLedger);
 
-/// A slot that waits for a sample.
+/// A slot of an open step that has no sample yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct OpenSlot {
     /// Step of the slot.
@@ -75,7 +77,7 @@
 }
 
 impl JobLedger {
-    /// An empty ledger of `job` at offset 0.
+    /// Creates an empty ledger of `job` at offset 0.
     pub fn new(job: JobName) -> Self {
         Self {
             job,
@@ -89,24 +91,28 @@
         }
     }
 
-    /// Lets every commit count, also for a slot that is filled. For the simulator only: it shows
+    /// Accepts every commit, even for a slot that is filled. Only the simulator uses this, to show
     /// that samples then reach the trainer more than once.
     pub fn count_every_commit(&mut self) {
         self.counts_every_commit = true;
     }
 
-    /// Goes on from a snapshot.
+    /// Restores the ledger from a snapshot.
     pub fn from_snapshot(snapshot: JobSnapshot) -> Self {
         snapshot.0
     }
 
-    /// The whole state with the samples of the open steps, to go on from elsewhere.
+    /// Copies the whole state, including the samples of the open steps, from which another reader can
+    /// continue.
     pub fn snapshot(&self) -> JobSnapshot {
         JobSnapshot(self.clone())
     }
 
-    /// Applies the record at `offset`. A record applied before is ignored; a record beyond the
-    /// next offset is a [`FoldError::Gap`].
+    /// Applies the record at `offset`. A record that was applied before is ignored.
+    ///
+    /// # Errors
+    ///
+    /// [`FoldError::Gap`] when `offset` is beyond the next offset; nothing is changed then.
     pub fn apply(&mut self, offset: LogOffset, record: &JobRecord) -> Result<JobEffect, FoldError> {
         if self.position.advance(offset)? == Arrival::Duplicate {
             return Ok(JobEffect::Ignored);
@@ -120,7 +126,11 @@
         })
     }
 
-    /// Moves past a record that cannot be decoded; it changes nothing else.
+    /// Moves past a record that cannot be decoded. The record has no other effect.
+    ///
+    /// # Errors
+    ///
+    /// [`FoldError::Gap`] when `offset` is beyond the next offset; nothing is changed then.
     pub fn skip(&mut self, offset: LogOffset) -> Result<(), FoldError> {
         self.position.advance(offset).map(|_| ())
     }
@@ -134,15 +144,15 @@
     }
 
     fn commit(&mut self, offset: LogOffset, sample: &Sample) -> JobEffect {
-        match self.judge(sample) {
-            Judgement::Accepted => {
+        match self.decide_commit(sample) {
+            CommitDecision::Accepted => {
                 if let Some(step) = self.open.get_mut(&sample.id.step) {
                     step.fill(offset, sample.clone());
                 }
                 JobEffect::Committed(sample.id.clone())
             }
-            Judgement::Repeated => JobEffect::Ignored,
-            Judgement::Rejected(reason) => JobEffect::Rejected {
+            CommitDecision::Duplicate => JobEffect::Ignored,
+            CommitDecision::Rejected(reason) => JobEffect::Rejected {
                 id: sample.id.clone(),
                 attempt: sample.attempt,
                 reason,
@@ -150,34 +160,34 @@
         }
     }
 
-    /// Decides about a sample and learns the newest version from it.
-    fn judge(&mut self, sample: &Sample) -> Judgement {
+    /// Decides whether a sample is accepted. A well-formed sample also raises the newest version.
+    fn decide_commit(&mut self, sample: &Sample) -> CommitDecision {
         let Some(versions) = sample_check::version_range(sample) else {
-            return Judgement::Rejected(DropReason::Malformed);
+            return CommitDecision::Rejected(DropReason::Malformed);
         };
         if sample.id.job != self.job {
-            return Judgement::Rejected(DropReason::Malformed);
+            return CommitDecision::Rejected(DropReason::Malformed);
         }
         let newest = self
             .newest_version
             .map_or(versions.newest, |known| known.max(versions.newest));
         self.newest_version = Some(newest);
         let (Some(in_force), Some(step)) = (&self.in_force, self.open.get(&sample.id.step)) else {
-            return Judgement::Rejected(DropReason::StepNotOpen);
+            return CommitDecision::Rejected(DropReason::StepNotOpen);
         };
-        let winner = step.filled_by(sample.id.index);
-        if let Some(winner) = winner.filter(|_| !self.counts_every_commit) {
-            return judge_late(sample, winner);
+        let filling_attempt = step.filled_by(sample.id.index);
+        if let Some(filling_attempt) = filling_attempt.filter(|_| !self.counts_every_commit) {
+            return decide_for_filled_slot(sample, filling_attempt);
         }
         let prompt = step.prompt_index(sample.id.index, in_force.rules.prompt_count);
         if prompt != Some(sample.prompt_index) {
-            return Judgement::Rejected(DropReason::RulesChanged);
+            return CommitDecision::Rejected(DropReason::RulesChanged);
         }
         let oldest = versions.oldest;
         if StalenessBound(in_force.rules.staleness_bound).is_too_stale(oldest, newest) {
-            return Judgement::Rejected(DropReason::TooStale { oldest, newest });
+            return CommitDecision::Rejected(DropReason::TooStale { oldest, newest });
         }
-        Judgement::Accepted
+        CommitDecision::Accepted
     }
 
     fn acknowledge(&mut self, step: StepNumber) -> JobEffect {
@@ -187,7 +197,7 @@
         }
         self.open.remove(&step);
         self.oldest_step = StepNumber(step.0 + 1);
-        self.open_window();
+        self.open_allowed_steps();
         JobEffect::StepAcknowledged(step)
     }
 
@@ -203,20 +213,20 @@
             revision,
             rules: rules.clone(),
         });
-        self.open_window();
+        self.open_allowed_steps();
         JobEffect::RulesChanged(revision)
     }
 
-    /// Opens the steps that the rules allow beyond the last acknowledged one.
-    fn open_window(&mut self) {
+    /// Opens every step that the rules allow and that is not open yet.
+    fn open_allowed_steps(&mut self) {
         let Some(RulesInForce { rules, .. }) = &self.in_force else {
             return;
         };
         let window = u64::from(rules.steps_ahead.min(MAX_OPEN_STEPS));
         let end = self.oldest_step.0 + window;
         let end = rules.steps.map_or(end, |steps| end.min(steps));
-        let first_closed = self.oldest_step.0 + self.open.len() as u64;
-        for number in first_closed..end {
+        let first_unopened = self.oldest_step.0 + self.open.len() as u64;
+        for number in first_unopened..end {
             let step = OpenStep::new(rules, self.opened_groups);
             self.opened_groups = step.end_group();
             self.open.insert(StepNumber(number), step);
@@ -224,23 +234,24 @@
     }
 }
 
-/// What a commit comes to.
-enum Judgement {
+/// The decision about a commit.
+enum CommitDecision {
     Accepted,
-    /// The very commit that filled the slot, appended again.
-    Repeated,
+    /// The commit is a duplicate of the one that filled the slot.
+    Duplicate,
     Rejected(DropReason),
 }
 
-/// Decides about a sample whose slot `winner` has filled.
-fn judge_late(sample: &Sample, winner: AttemptId) -> Judgement {
-    if winner == sample.attempt {
-        return Judgement::Repeated;
+/// Decides about a sample whose slot was filled by the attempt `filling_attempt`.
+fn decide_for_filled_slot(sample: &Sample, filling_attempt: AttemptId) -> CommitDecision {
+    if filling_attempt == sample.attempt {
+        return CommitDecision::Duplicate;
     }
-    Judgement::Rejected(DropReason::SlotFilled)
+    CommitDecision::Rejected(DropReason::SlotFilled)
 }
 
-/// Whether the fold can work with the rules; the configuration refuses others beforehand.
+/// Whether the fold can apply the rules. The configuration accepts no others, so this is a second
+/// check.
 fn is_usable(rules: &JobRules) -> bool {
     rules.samples_per_step > 0
         && rules.group_size > 0
--- a/crates/ledger/src/jobs/effect.rs
+++ b/crates/ledger/src/jobs/effect.rs
@@ -1,30 +1,30 @@
-//! What a record of a job stream changed.
+//! The effect of one record of a job stream.
 
 use havenstage_types::ids::{AttemptId, Revision, SampleId, StepNumber, VersionNumber};
 use havenstage_types::job::{DropReason, SampleDrop};
 
-/// What applying one record did.
+/// What a record changed when it was applied.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum JobEffect {
     /// The sample fills its slot and will be delivered.
     Committed(SampleId),
-    /// The sample does not count.
+    /// The sample was rejected and will not be delivered.
     Rejected {
-        /// Slot it was meant for.
+        /// Slot that the sample names.
         id: SampleId,
         /// Attempt that produced it.
         attempt: AttemptId,
-        /// Why it does not count.
+        /// Why the sample was rejected.
         reason: DropReason,
     },
-    /// An attempt was given up before its commit; its slot is as it was.
+    /// An attempt was given up before its commit; its slot is unchanged.
     Dropped(SampleDrop),
-    /// The newest version is now this one.
+    /// The newest version was raised to this one.
     VersionAdvanced(VersionNumber),
     /// The step is acknowledged; its samples are released.
     StepAcknowledged(StepNumber),
     /// The rules of this configuration revision are in force.
     RulesChanged(Revision),
-    /// Nothing changed.
+    /// The record had no effect.
     Ignored,
 }
--- a/crates/ledger/src/jobs/step.rs
+++ b/crates/ledger/src/jobs/step.rs
@@ -1,4 +1,4 @@
-//! One open step of a job.
+//! The slots and samples of one open step of a job.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,8 @@
 use havenstage_types::job::{DeliveredSample, JobRules, Sample, SampleBatch};
 use serde::{Deserialize, Serialize};
 
-/// An open step. It keeps the shape it was opened with, also when the rules change.
+/// An open step. It keeps the number of samples and the group size with which it was opened, even
+/// when the rules change.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(super) struct OpenStep {
     samples_per_step: u32,
@@ -19,7 +20,7 @@
 }
 
 impl OpenStep {
-    /// An empty step whose groups follow `first_group` earlier ones.
+    /// Creates an empty step. `first_group` is the number of groups in all steps before it.
     pub(super) fn new(rules: &JobRules, first_group: u64) -> Self {
         Self {
             samples_per_step: rules.samples_per_step,
@@ -36,7 +37,7 @@
         self.first_group + u64::from(groups)
     }
 
-    /// Index of the prompt that slot `index` samples, or `None` when there is no such slot.
+    /// Index of the prompt to sample for slot `index`, or `None` when the step has no such slot.
     pub(super) fn prompt_index(&self, index: u32, prompt_count: u32) -> Option<u32> {
         if index >= self.samples_per_step {
             return None;
@@ -50,25 +51,27 @@
         self.slots.len() as u64 == u64::from(self.samples_per_step)
     }
 
-    /// Indexes of slots without a sample, in order.
+    /// Indexes of the slots without a sample, in ascending order.
     pub(super) fn empty_slots(&self) -> impl Iterator<Item = u32> {
         (0..self.samples_per_step).filter(|index| !self.slots.contains_key(index))
     }
 
-    /// The attempt whose sample fills slot `index`.
+    /// The attempt whose sample fills slot `index`, or `None` when the slot is empty.
     pub(super) fn filled_by(&self, index: u32) -> Option<AttemptId> {
         let offset = self.slots.get(&index)?;
         let sample = self.samples.get(offset)?;
         Some(sample.attempt)
     }
 
-    /// Fills the sample's slot, which must be empty.
+    /// Stores `sample`, read at `offset`, in its slot. The caller checks that the slot is empty, except
+    /// when every commit counts: the slot then refers to the newest sample, and the samples before
+    /// it are delivered too.
     pub(super) fn fill(&mut self, offset: LogOffset, sample: Sample) {
         self.slots.insert(sample.id.index, offset);
         self.samples.insert(offset, sample);
     }
 
-    /// Up to `max` samples from `cursor` on, in offset order.
+    /// Returns up to `max` samples whose offset is at least `cursor`, in offset order.
     pub(super) fn batch(&self, cursor: LogOffset, max: usize) -> SampleBatch {
         let samples: Vec<DeliveredSample> = self
             .samples
--- a/crates/ledger/src/jobs/view.rs
+++ b/crates/ledger/src/jobs/view.rs
@@ -1,4 +1,4 @@
-//! What a [`JobLedger`] tells its readers.
+//! Read access to the state of a [`JobLedger`].
 
 use havenstage_types::ids::{
     AttemptId, JobName, LogOffset, Revision, SampleId, StepNumber, VersionNumber,
@@ -14,7 +14,7 @@
         self.position.next()
     }
 
-    /// Job the stream belongs to.
+    /// Job to which the stream belongs.
     pub fn job(&self) -> &JobName {
         &self.job
     }
@@ -24,13 +24,13 @@
         self.in_force.as_ref().map(|in_force| &in_force.rules)
     }
 
-    /// Configuration revision of the rules in force. An owner that sees a higher revision in the
-    /// configuration appends a rules record.
+    /// Configuration revision of the rules in force, or `None` before the first rules record. The
+    /// owner of the job appends a rules record when the configuration has a higher revision.
     pub fn rules_revision(&self) -> Option<Revision> {
         self.in_force.as_ref().map(|in_force| in_force.revision)
     }
 
-    /// The newest version known, or `None` before the first one.
+    /// The newest version that a record has named, or `None` before the first one.
     pub fn newest_version(&self) -> Option<VersionNumber> {
         self.newest_version
     }
@@ -49,17 +49,18 @@
         })
     }
 
-    /// Whether a slot of an open step has no sample yet.
+    /// Whether the slot belongs to an open step and has no sample yet.
     pub fn is_open(&self, step: StepNumber, index: u32) -> bool {
         self.prompt_index(step, index).is_some() && self.filled_by(step, index).is_none()
     }
 
-    /// The attempt whose sample fills a slot of an open step.
+    /// The attempt whose sample fills a slot of an open step, or `None` when the slot is empty, does
+    /// not exist or belongs to a step that is not open.
     pub fn filled_by(&self, step: StepNumber, index: u32) -> Option<AttemptId> {
         self.open.get(&step)?.filled_by(index)
     }
 
-    /// Identifier of a slot of this job.
+    /// Builds the identifier of a slot of this job.
     pub fn sample_id(&self, step: StepNumber, index: u32) -> SampleId {
         SampleId {
             job: self.job.clone(),
@@ -68,19 +69,19 @@
         }
     }
 
-    /// Index of the prompt that a slot of an open step samples, or `None` when the step is not
-    /// open or has no such slot.
+    /// Index of the prompt to sample for a slot of an open step, or `None` when the step is not open
+    /// or has no such slot.
     pub fn prompt_index(&self, step: StepNumber, index: u32) -> Option<u32> {
         let prompt_count = self.rules()?.prompt_count;
         self.open.get(&step)?.prompt_index(index, prompt_count)
     }
 
-    /// Steps that take samples or wait for their acknowledgement, in order.
+    /// Steps that accept samples or wait for their acknowledgement, in order.
     pub fn open_steps(&self) -> impl Iterator<Item = StepNumber> {
         self.open.keys().copied()
     }
 
-    /// Whether every slot of the step is filled; true for acknowledged steps.
+    /// Whether every slot of the step is filled. Also true for acknowledged steps.
     pub fn step_complete(&self, step: StepNumber) -> bool {
         step < self.oldest_step || self.open.get(&step).is_some_and(OpenStep::is_complete)
     }
@@ -96,12 +97,12 @@
         self.oldest_step.0.checked_sub(1).map(StepNumber)
     }
 
-    /// Up to `max` accepted samples of `step` with an offset of at least `cursor`, in offset
-    /// order; the same sequence on every node.
+    /// Returns up to `max` accepted samples of `step` with an offset of at least `cursor`, in offset
+    /// order. The sequence is the same on every node.
     ///
-    /// A cursor belongs to one step and starts at offset 0 for each: samples of steps that are
-    /// open at the same time are mixed in the stream. An acknowledged step gives an empty
-    /// complete batch, a step not yet open an empty incomplete one.
+    /// A cursor belongs to one step and starts at offset 0 for each step, because the stream
+    /// interleaves the samples of steps that are open at the same time. For an acknowledged step
+    /// the batch is empty and complete; for a step that is not open yet it is empty and incomplete.
     pub fn deliver(&self, step: StepNumber, cursor: LogOffset, max: usize) -> SampleBatch {
         match self.open.get(&step) {
             Some(open) => open.batch(cursor, max),
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,8 +1,10 @@
-//! Pure folds of the log streams that decide what counts: claim streams (a not-repeatable request
-//! runs at most once) and job streams (every sample reaches the trainer exactly once).
+//! Deterministic state machines over two kinds of log stream. A claim stream makes a request that
+//! is not repeatable run at most once. A job stream makes every sample reach the trainer exactly
+//! once.
 //!
-//! A fold does no I/O and knows no time. Its state depends only on the records applied, so every
-//! reader that has applied the same prefix of a stream answers alike.
+//! Such a state machine is called a fold: it applies the records of one stream in offset order. A
+//! fold does no I/O and reads no clock. Its state depends only on the records applied, so all
+//! readers that have applied the same prefix of a stream give the same results.
 
 pub mod claims;
 pub mod error;
--- a/crates/ledger/src/position.rs
+++ b/crates/ledger/src/position.rs
@@ -1,4 +1,4 @@
-//! How far a fold has read its stream.
+//! The position up to which a fold has applied its stream.
 
 use havenstage_types::ids::LogOffset;
 use serde::{Deserialize, Serialize};
@@ -10,7 +10,7 @@
 #[serde(transparent)]
 pub(crate) struct StreamPosition(LogOffset);
 
-/// Whether a record was seen before.
+/// Whether a record was applied before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Arrival {
     /// The record is the next one; the position has moved past it.
@@ -25,7 +25,11 @@
         self.0
     }
 
-    /// Moves past the record at `offset`.
+    /// Moves past the record at `offset`, unless it was passed before.
+    ///
+    /// # Errors
+    ///
+    /// [`FoldError::Gap`] when `offset` is beyond the next offset; the position is unchanged then.
     pub(crate) fn advance(&mut self, offset: LogOffset) -> Result<Arrival, FoldError> {
         if offset < self.0 {
             return Ok(Arrival::Duplicate);
--- a/crates/ledger/tests/claims_at_most_once.rs
+++ b/crates/ledger/tests/claims_at_most_once.rs
@@ -1,5 +1,6 @@
-//! Racing attempts that claim, abandon, crash and have records appended late, twice or never: no
-//! key is ever dispatched twice, and readers at the same offset agree.
+//! Attempts claim the same keys concurrently, abandon them or crash, and their records are appended
+//! late, more than once or never. The test guards against a key that is dispatched twice and
+//! against readers that disagree at the same offset.
 
 mod support;
 
@@ -17,8 +18,8 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    Ask { attempt: u64, reader: usize },
-    Land { pick: usize, again_later: bool },
+    RequestClaim { attempt: u64, reader: usize },
+    AppendInFlight { selected: usize, append_again: bool },
     Read { reader: usize, records: usize },
     Poll { attempt: u64, reader: usize },
     Abandon { attempt: u64 },
@@ -32,9 +33,9 @@
     let reader = 0..READERS;
     prop_oneof![
         3 => (attempt.clone(), reader.clone())
-            .prop_map(|(attempt, reader)| Step::Ask { attempt, reader }),
+            .prop_map(|(attempt, reader)| Step::RequestClaim { attempt, reader }),
         6 => (any::<usize>(), any::<bool>())
-            .prop_map(|(pick, again_later)| Step::Land { pick, again_later }),
+            .prop_map(|(selected, append_again)| Step::AppendInFlight { selected, append_again }),
         6 => (reader.clone(), 1..4_usize)
             .prop_map(|(reader, records)| Step::Read { reader, records }),
         6 => (attempt.clone(), reader.clone())
@@ -47,27 +48,32 @@
 }
 
 #[derive(Default)]
-struct World {
+struct Simulation {
     log: Vec<ClaimRecord>,
     in_flight: Vec<ClaimRecord>,
     readers: [ClaimLedger; READERS],
-    gone: BTreeSet<u64>,
-    told_off: BTreeSet<u64>,
+    /// Attempts that take no further action.
+    stopped: BTreeSet<u64>,
+    /// Attempts that read back their own claim and found the key held by another.
+    rejected: BTreeSet<u64>,
     dispatched: BTreeSet<u64>,
     dispatches: BTreeMap<u64, u32>,
 }
 
-impl World {
-    fn take(&mut self, step: &Step) {
+impl Simulation {
+    fn apply_step(&mut self, step: &Step) {
         match *step {
-            Step::Ask { attempt, reader } => self.ask(attempt, reader),
-            Step::Land { pick, again_later } => self.land(pick, again_later),
+            Step::RequestClaim { attempt, reader } => self.request_claim(attempt, reader),
+            Step::AppendInFlight {
+                selected,
+                append_again,
+            } => self.append_in_flight(selected, append_again),
             Step::Read { reader, records } => self.read(reader, records),
             Step::Poll { attempt, reader } => self.poll(attempt, reader),
             Step::Abandon { attempt } => self.abandon(attempt),
             Step::Finish { attempt } => self.finish(attempt),
             Step::Crash { attempt } => {
-                self.gone.insert(attempt);
+                self.stopped.insert(attempt);
             }
             Step::CopyReader { from, to } => {
                 let snapshot = self.readers[from].snapshot();
@@ -80,20 +86,20 @@
         self.readers[reader].verdict(&key(number % KEYS), attempt(number), FINGERPRINT)
     }
 
-    fn ask(&mut self, number: u64, reader: usize) {
-        if !self.gone.contains(&number) && self.verdict(number, reader).is_none() {
+    fn request_claim(&mut self, number: u64, reader: usize) {
+        if !self.stopped.contains(&number) && self.verdict(number, reader).is_none() {
             self.in_flight.push(claim(number % KEYS, number));
         }
     }
 
-    fn land(&mut self, pick: usize, again_later: bool) {
+    fn append_in_flight(&mut self, selected: usize, append_again: bool) {
         if self.in_flight.is_empty() {
             return;
         }
-        let pick = pick % self.in_flight.len();
-        self.log.push(self.in_flight[pick].clone());
-        if !again_later {
-            self.in_flight.remove(pick);
+        let selected = selected % self.in_flight.len();
+        self.log.push(self.in_flight[selected].clone());
+        if !append_again {
+            self.in_flight.remove(selected);
         }
     }
 
@@ -105,14 +111,14 @@
     }
 
     fn poll(&mut self, number: u64, reader: usize) {
-        if self.gone.contains(&number) {
+        if self.stopped.contains(&number) {
             return;
         }
         match self.verdict(number, reader) {
             Some(ClaimVerdict::Granted) => self.dispatch(number),
             Some(ClaimVerdict::HeldBy(_)) if self.has_read_claim(number, reader) => {
-                self.gone.insert(number);
-                self.told_off.insert(number);
+                self.stopped.insert(number);
+                self.rejected.insert(number);
             }
             _ => {}
         }
@@ -130,13 +136,13 @@
     }
 
     fn abandon(&mut self, number: u64) {
-        if !self.dispatched.contains(&number) && self.gone.insert(number) {
+        if !self.dispatched.contains(&number) && self.stopped.insert(number) {
             self.in_flight.push(abandon(number % KEYS, number));
         }
     }
 
     fn finish(&mut self, number: u64) {
-        if self.dispatched.contains(&number) && self.gone.insert(number) {
+        if self.dispatched.contains(&number) && self.stopped.insert(number) {
             self.in_flight
                 .push(outcome(number % KEYS, number, failed()));
         }
@@ -147,7 +153,7 @@
             prop_assert!(*runs <= 1, "key {name} was dispatched {runs} times");
         }
         for reader in &self.readers {
-            for number in &self.told_off {
+            for number in &self.rejected {
                 let holder = reader.holder(&key(number % KEYS));
                 prop_assert_ne!(holder, Some(attempt(*number)));
             }
@@ -173,11 +179,11 @@
 
     #[test]
     fn racing_attempts_run_at_most_once(steps in prop::collection::vec(step(), 1..120)) {
-        let mut world = World::default();
+        let mut simulation = Simulation::default();
         for step in &steps {
-            world.take(step);
-            world.check()?;
+            simulation.apply_step(step);
+            simulation.check()?;
         }
-        world.check_readers_agree()?;
+        simulation.check_readers_agree()?;
     }
 }
--- a/crates/ledger/tests/claims_retention.rs
+++ b/crates/ledger/tests/claims_retention.rs
@@ -1,4 +1,4 @@
-//! The past of a claim stream is forgotten by offset distance.
+//! Keys and answers of a claim stream are forgotten after a number of further records.
 
 mod support;
 
@@ -13,7 +13,7 @@
     answer_retention_records: 4,
 };
 
-fn skip_to(ledger: &mut ClaimLedger, next: u64) {
+fn skip_until(ledger: &mut ClaimLedger, next: u64) {
     for offset in ledger.next_offset().0..next {
         ledger.skip(LogOffset(offset)).unwrap();
     }
@@ -24,48 +24,48 @@
 }
 
 #[test]
-fn held_key_stays_for_the_whole_retention() {
+fn held_key_is_remembered_for_the_whole_retention() {
     let mut ledger = ClaimLedger::new(SETTINGS).unwrap();
     ledger.apply(LogOffset(0), &claim(1, 1)).unwrap();
-    skip_to(&mut ledger, 10);
+    skip_until(&mut ledger, 10);
     assert_eq!(verdict(&ledger), Some(ClaimVerdict::HeldBy(attempt(1))));
-    skip_to(&mut ledger, 11);
+    skip_until(&mut ledger, 11);
     assert_eq!(verdict(&ledger), None);
     assert_eq!(ledger.key_count(), 0);
 }
 
 #[test]
-fn outcome_renews_retention_and_its_text_goes_first() {
+fn outcome_renews_retention_and_its_text_is_forgotten_first() {
     let mut ledger = ClaimLedger::new(SETTINGS).unwrap();
     ledger.apply(LogOffset(0), &claim(1, 1)).unwrap();
-    skip_to(&mut ledger, 5);
+    skip_until(&mut ledger, 5);
     ledger
         .apply(LogOffset(5), &outcome(1, 1, answer("text")))
         .unwrap();
-    skip_to(&mut ledger, 9);
+    skip_until(&mut ledger, 9);
     assert_eq!(verdict(&ledger), Some(ClaimVerdict::Done(answer("text"))));
-    skip_to(&mut ledger, 15);
+    skip_until(&mut ledger, 15);
     let Some(ClaimVerdict::Done(ClaimOutcome::Failed(refusal))) = verdict(&ledger) else {
         panic!("the key must be done: {:?}", verdict(&ledger));
     };
     assert_eq!(refusal.execution, Execution::Ran);
-    skip_to(&mut ledger, 16);
+    skip_until(&mut ledger, 16);
     assert_eq!(verdict(&ledger), None);
 }
 
 #[test]
-fn late_copy_renews_the_memory_of_an_abandoned_attempt() {
+fn delayed_duplicate_renews_the_retention_of_an_abandoned_attempt() {
     let mut ledger = ClaimLedger::new(SETTINGS).unwrap();
     ledger.apply(LogOffset(0), &abandon(1, 1)).unwrap();
-    skip_to(&mut ledger, 8);
+    skip_until(&mut ledger, 8);
     ledger.apply(LogOffset(8), &claim(1, 1)).unwrap();
-    skip_to(&mut ledger, 15);
+    skip_until(&mut ledger, 15);
     ledger.apply(LogOffset(15), &claim(1, 1)).unwrap();
     assert_eq!(ledger.holder(&key(1)), None);
 }
 
 #[test]
-fn settings_out_of_range_are_refused() {
+fn settings_out_of_range_are_rejected() {
     let none = ClaimLedgerSettings {
         retention_records: 0,
         answer_retention_records: 0,
--- a/crates/ledger/tests/claims_rules.rs
+++ b/crates/ledger/tests/claims_rules.rs
@@ -1,4 +1,4 @@
-//! Who holds a key, rule by rule.
+//! The rules that decide which attempt holds a key, one test for each.
 
 mod support;
 
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn first_claim_is_granted_and_the_next_is_told_who_holds() {
+fn first_claim_is_granted_and_the_next_gets_the_holder() {
     let log = [claim(1, 1), claim(1, 2), claim(1, 1)];
     assert_eq!(verdict(&log, 1), Some(ClaimVerdict::Granted));
     assert_eq!(verdict(&log, 2), Some(ClaimVerdict::HeldBy(attempt(1))));
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn attempt_that_lost_never_holds_after_the_holder_abandons() {
+fn rejected_attempt_never_holds_the_key_after_the_holder_abandons() {
     let log = [claim(1, 1), claim(1, 2), abandon(1, 1), claim(1, 2)];
     assert_eq!(verdict(&log, 2), Some(ClaimVerdict::Abandoned));
     assert_eq!(fold(&log).holder(&key(1)), None);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn claim_that_arrives_after_its_abandonment_is_ignored() {
+fn claim_appended_after_its_abandonment_is_ignored() {
     let log = [abandon(1, 1), claim(1, 1), claim(1, 2)];
     assert_eq!(verdict(&log[..2], 1), Some(ClaimVerdict::Abandoned));
     assert_eq!(verdict(&log, 2), Some(ClaimVerdict::Granted));
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn first_outcome_of_the_holder_stands() {
+fn only_the_first_outcome_of_the_holder_is_stored() {
     let log = [
         claim(1, 1),
         outcome(1, 2, failed()),
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn key_used_for_another_request_is_noticed() {
+fn key_used_for_another_request_is_detected() {
     let ledger = fold(&[claim(1, 1)]);
     let other = ledger.verdict(&key(1), attempt(2), FINGERPRINT + 1);
     assert_eq!(other, Some(ClaimVerdict::KeyReused));
--- a/crates/ledger/tests/jobs_exactly_once.rs
+++ b/crates/ledger/tests/jobs_exactly_once.rs
@@ -1,5 +1,7 @@
-//! Racing owners that read at different speeds, commit twice and retry lost appends: the trainer
-//! gets each sample exactly once, none older than the bound, the same from every node.
+//! Concurrent owners read at different speeds, commit samples for the same slot and append a commit
+//! twice, as a retried append does. The test guards against a trainer that gets a sample twice or
+//! not at all, gets a sample beyond the staleness bound, or gets different samples from different
+//! nodes.
 
 mod support;
 
@@ -18,16 +20,16 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    /// A node runs a slot it believes open and appends the sample, maybe twice.
+    /// A node produces a sample for a slot that it sees as open and appends it once or twice.
     Commit {
         node: usize,
-        pick: usize,
+        selected: usize,
         age: u64,
         spread: u64,
         twice: bool,
     },
     Publish,
-    RulesAgain {
+    ChangeRules {
         revision: u64,
         bound: u64,
     },
@@ -50,11 +52,11 @@
     let node = 0..NODES;
     prop_oneof![
         6 => (node.clone(), any::<usize>(), 0..4_u64, 0..4_u64, any::<bool>()).prop_map(
-            |(node, pick, age, spread, twice)| Step::Commit { node, pick, age, spread, twice }
+            |(node, selected, age, spread, twice)| Step::Commit { node, selected, age, spread, twice }
         ),
         2 => Just(Step::Publish),
         1 => (1..4_u64, 0..4_u64)
-            .prop_map(|(revision, bound)| Step::RulesAgain { revision, bound }),
+            .prop_map(|(revision, bound)| Step::ChangeRules { revision, bound }),
         6 => (node.clone(), 1..6_usize)
             .prop_map(|(node, records)| Step::Read { node, records }),
         4 => (node.clone(), 1..4_usize, any::<bool>())
@@ -63,7 +65,7 @@
     ]
 }
 
-struct World {
+struct Simulation {
     log: Vec<JobRecord>,
     nodes: Vec<JobLedger>,
     version: u64,
@@ -73,7 +75,7 @@
     received: Vec<DeliveredSample>,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         Self {
             log: vec![rules_record(1, rules())],
@@ -86,25 +88,25 @@
         }
     }
 
-    fn take(&mut self, step: &Step) {
+    fn apply_step(&mut self, step: &Step) {
         match *step {
             Step::Commit {
                 node,
-                pick,
+                selected,
                 age,
                 spread,
                 twice,
             } => {
                 let slots: Vec<OpenSlot> = self.nodes[node].open_slots().collect();
                 if !slots.is_empty() {
-                    self.commit(slots[pick % slots.len()], age, spread, twice);
+                    self.commit(slots[selected % slots.len()], age, spread, twice);
                 }
             }
             Step::Publish => {
                 self.version += 1;
                 self.log.push(published(self.version));
             }
-            Step::RulesAgain { revision, bound } => {
+            Step::ChangeRules { revision, bound } => {
                 let mut changed = rules();
                 changed.staleness_bound = bound;
                 self.log.push(rules_record(revision, changed));
@@ -115,7 +117,9 @@
                 max,
                 answer_lost,
             } => self.train(node, max, answer_lost),
-            Step::Restart { from, to } => self.nodes[to] = restarted(&self.nodes[from]),
+            Step::Restart { from, to } => {
+                self.nodes[to] = restore_from_snapshot_of(&self.nodes[from])
+            }
         }
     }
 
@@ -123,10 +127,10 @@
         self.attempts += 1;
         let oldest = self.version - age;
         let newest = (oldest + spread).min(self.version);
-        let made = sample(slot.step.0, slot.index, self.attempts, [oldest, newest]);
-        self.log.push(committed(made.clone()));
+        let produced = sample(slot.step.0, slot.index, self.attempts, [oldest, newest]);
+        self.log.push(committed(produced.clone()));
         if twice {
-            self.log.push(committed(made));
+            self.log.push(committed(produced));
         }
     }
 
@@ -152,7 +156,7 @@
         }
     }
 
-    /// Lets the job run to its end without further faults.
+    /// Runs the job to completion without further faults.
     fn settle(&mut self) {
         for _ in 0..SETTLE_ROUNDS {
             self.read(0, usize::MAX);
@@ -182,22 +186,22 @@
         self.check_received_is_what_was_committed()
     }
 
-    /// Folds the log anew, and counts versions by its own means.
+    /// Folds the log from the start, and determines the newest version independently of the ledger.
     fn check_received_is_what_was_committed(&self) -> Result<(), TestCaseError> {
         let mut ledger = JobLedger::new(job());
         let mut newest = 0;
         let mut accepted = BTreeMap::new();
         for (offset, record) in tail(&self.log, LogOffset(0)) {
-            newest = newest.max(newest_named(record));
+            newest = newest.max(newest_version_in(record));
             let effect = ledger.apply(offset, record).unwrap();
-            let JobRecord::SampleCommitted(made) = record else {
+            let JobRecord::SampleCommitted(produced) = record else {
                 continue;
             };
             if let JobEffect::Committed(id) = effect {
                 let bound = ledger.rules().map_or(0, |rules| rules.staleness_bound);
-                let oldest = made.segments.oldest().map_or(0, |version| version.0);
+                let oldest = produced.segments.oldest().map_or(0, |version| version.0);
                 prop_assert!(oldest + bound >= newest, "{} is too stale", id);
-                prop_assert!(accepted.insert(id, (offset, made.attempt)).is_none());
+                prop_assert!(accepted.insert(id, (offset, produced.attempt)).is_none());
             }
         }
         for delivered in &self.received {
@@ -209,19 +213,19 @@
     }
 }
 
-fn newest_named(record: &JobRecord) -> u64 {
+fn newest_version_in(record: &JobRecord) -> u64 {
     match record {
         JobRecord::VersionPublished(version) => version.0,
-        JobRecord::SampleCommitted(made) => {
-            let versions = made.segments.0.iter().map(|segment| segment.version.0);
+        JobRecord::SampleCommitted(produced) => {
+            let versions = produced.segments.0.iter().map(|segment| segment.version.0);
             versions.max().unwrap_or(0)
         }
         _ => 0,
     }
 }
 
-/// A ledger that went over the wire as a snapshot.
-fn restarted(ledger: &JobLedger) -> JobLedger {
+/// Restores a ledger from its encoded snapshot.
+fn restore_from_snapshot_of(ledger: &JobLedger) -> JobLedger {
     let bytes = postcard::to_stdvec(&ledger.snapshot()).unwrap();
     let snapshot: JobSnapshot = postcard::from_bytes(&bytes).unwrap();
     JobLedger::from_snapshot(snapshot)
@@ -232,11 +236,11 @@
 
     #[test]
     fn trainer_gets_each_sample_exactly_once(steps in prop::collection::vec(step(), 1..120)) {
-        let mut world = World::new();
+        let mut simulation = Simulation::new();
         for step in &steps {
-            world.take(step);
+            simulation.apply_step(step);
         }
-        world.settle();
-        world.check()?;
+        simulation.settle();
+        simulation.check()?;
     }
 }
--- a/crates/ledger/tests/jobs_rules.rs
+++ b/crates/ledger/tests/jobs_rules.rs
@@ -1,4 +1,4 @@
-//! When samples, steps and rules count, rule by rule.
+//! The rules by which samples, steps and rules records take effect, one test for each.
 
 mod support;
 
@@ -12,7 +12,7 @@
     ledger.apply(offset, &record).unwrap()
 }
 
-fn started(rules: JobRules) -> JobLedger {
+fn ledger_with_rules(rules: JobRules) -> JobLedger {
     let mut ledger = JobLedger::new(job());
     apply(&mut ledger, rules_record(10, rules));
     ledger
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn nothing_counts_before_the_rules() {
+fn samples_are_rejected_before_the_first_rules_record() {
     let mut ledger = JobLedger::new(job());
     let early = rejection(&mut ledger, sample(0, 0, 1, [0, 0]));
     assert_eq!(early, Some(DropReason::StepNotOpen));
@@ -43,8 +43,8 @@
 }
 
 #[test]
-fn first_commit_fills_the_slot_and_its_repeat_is_ignored() {
-    let mut ledger = started(rules());
+fn first_commit_fills_the_slot_and_its_duplicate_is_ignored() {
+    let mut ledger = ledger_with_rules(rules());
     let first = sample(0, 0, 1, [0, 0]);
     let id = first.id.clone();
     let effect = apply(&mut ledger, committed(first.clone()));
@@ -56,7 +56,7 @@
 
 #[test]
 fn segments_must_cover_exactly_the_tokens() {
-    let mut ledger = started(rules());
+    let mut ledger = ledger_with_rules(rules());
     let mut no_tokens = sample(0, 0, 1, [0, 0]);
     no_tokens.tokens.clear();
     no_tokens.segments.0.clear();
@@ -75,7 +75,7 @@
 
 #[test]
 fn stale_sample_leaves_its_slot_open() {
-    let mut ledger = started(rules());
+    let mut ledger = ledger_with_rules(rules());
     let advanced = JobEffect::VersionAdvanced(VersionNumber(5));
     assert_eq!(apply(&mut ledger, published(5)), advanced);
     assert_eq!(apply(&mut ledger, published(4)), JobEffect::Ignored);
@@ -90,7 +90,7 @@
 
 #[test]
 fn sample_newer_than_the_published_version_raises_it() {
-    let mut ledger = started(rules());
+    let mut ledger = ledger_with_rules(rules());
     apply(&mut ledger, published(1));
     assert_eq!(rejection(&mut ledger, sample(0, 0, 1, [4, 4])), None);
     assert_eq!(ledger.newest_version(), Some(VersionNumber(4)));
@@ -100,7 +100,7 @@
 
 #[test]
 fn steps_open_and_are_acknowledged_in_order() {
-    let mut ledger = started(rules());
+    let mut ledger = ledger_with_rules(rules());
     let beyond = rejection(&mut ledger, sample(2, 0, 1, [0, 0]));
     assert_eq!(beyond, Some(DropReason::StepNotOpen));
     fill(&mut ledger, 1);
@@ -120,15 +120,15 @@
 }
 
 #[test]
-fn prompts_go_on_where_the_step_before_stopped() {
-    let ledger = started(rules());
+fn prompts_continue_where_the_previous_step_stopped() {
+    let ledger = ledger_with_rules(rules());
     let prompts: Vec<u32> = ledger.open_slots().map(|slot| slot.prompt_index).collect();
     assert_eq!(prompts, [0, 0, 1, 1, 2, 2, 0, 0]);
 }
 
 #[test]
 fn only_a_higher_revision_changes_the_rules() {
-    let mut ledger = started(rules());
+    let mut ledger = ledger_with_rules(rules());
     let strict = JobRules {
         staleness_bound: 0,
         ..rules()
@@ -150,8 +150,8 @@
 }
 
 #[test]
-fn open_steps_keep_their_shape_when_the_rules_change() {
-    let mut ledger = started(rules());
+fn open_steps_keep_their_samples_and_groups_when_the_rules_change() {
+    let mut ledger = ledger_with_rules(rules());
     fill(&mut ledger, 0);
     let smaller = JobRules {
         samples_per_step: 2,
@@ -172,7 +172,7 @@
 
 #[test]
 fn repeated_offset_is_ignored_and_a_gap_is_an_error() {
-    let mut ledger = started(rules());
+    let mut ledger = ledger_with_rules(rules());
     let before = ledger.clone();
     let again = ledger.apply(LogOffset(0), &published(3));
     assert_eq!(again, Ok(JobEffect::Ignored));
--- a/crates/ledger/tests/support/mod.rs
+++ b/crates/ledger/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! Builders shared by the tests of the folds.
+//! Builders of records and samples for the tests of the folds.
 
-#![allow(dead_code, reason = "each test file uses a part of the builders")]
+#![allow(dead_code, reason = "each test file uses some of the builders")]
 
 use havenstage_types::claim::{Claim, ClaimOutcome, ClaimRecord};
 use havenstage_types::ids::{
@@ -16,7 +16,7 @@
 
 pub const FINGERPRINT: u64 = 7;
 
-/// The same cases on every run.
+/// Test configuration with a fixed seed, so that every run takes the same cases.
 pub fn fixed_cases(cases: u32) -> Config {
     Config {
         cases,
@@ -81,7 +81,8 @@
     JobName::new("job")
 }
 
-/// Two prompts, two samples of each in a step, three steps, two of them open at once.
+/// Three prompts and three steps. A step samples two of the prompts twice each, and two steps are
+/// open at once.
 pub fn rules() -> JobRules {
     JobRules {
         samples_per_step: 4,
@@ -100,7 +101,7 @@
     }
 }
 
-/// A sample of two tokens, one from each version.
+/// A sample of two tokens, one produced by each version.
 pub fn sample(step: u64, index: u32, sequence: u64, versions: [u64; 2]) -> Sample {
     let mut segments = VersionSegments::default();
     segments.push(VersionNumber(versions[0]), 1);
@@ -142,7 +143,7 @@
     }
 }
 
-/// Records with their offsets, from `from` on.
+/// The records at offset `from` and above, with their offsets.
 pub fn tail<T>(log: &[T], from: LogOffset) -> impl Iterator<Item = (LogOffset, &T)> {
     let numbered = log.iter().enumerate().skip(from.0 as usize);
     numbered.map(|(offset, record)| (LogOffset(offset as u64), record))
