--- a/crates/ledger/src/jobs.rs
+++ b/crates/ledger/src/jobs.rs
@@ -151,7 +151,7 @@
                 }
                 JobEffect::Committed(sample.id.clone())
             }
-            CommitDecision::Duplicate => JobEffect::Ignored,
+            CommitDecision::Repeated => JobEffect::Ignored,
             CommitDecision::Rejected(reason) => JobEffect::Rejected {
                 id: sample.id.clone(),
                 attempt: sample.attempt,
@@ -238,14 +238,14 @@
 enum CommitDecision {
     Accepted,
     /// The commit is a duplicate of the one that filled the slot.
-    Duplicate,
+    Repeated,
     Rejected(DropReason),
 }
 
 /// Decides about a sample whose slot was filled by the attempt `filling_attempt`.
 fn decide_for_filled_slot(sample: &Sample, filling_attempt: AttemptId) -> CommitDecision {
     if filling_attempt == sample.attempt {
-        return CommitDecision::Duplicate;
+        return CommitDecision::Repeated;
     }
     CommitDecision::Rejected(DropReason::SlotFilled)
 }
