--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the fold.
+//! Errors of applying records to the configuration.
 
 use havenstage_types::ids::LogOffset;
 use thiserror::Error;
@@ -6,12 +6,12 @@
 /// Why a record could not be applied.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum FoldError {
-    /// Records are missing before this one; the caller must read them first.
+    /// Records are missing before the given one; the caller must apply them first.
     #[error("configuration record {found} came while {expected} was expected")]
     Gap {
-        /// Offset the fold needs next.
+        /// Offset of the next record to apply.
         expected: LogOffset,
-        /// Offset of the record that came.
+        /// Offset of the record that was given.
         found: LogOffset,
     },
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,9 +1,10 @@
-//! The configuration of the deployment, as a fold over the configuration stream.
+//! The configuration of the deployment, as a fold over the configuration stream: a state machine
+//! that applies the records of the stream in offset order.
 //!
-//! Every node reads the same records in offset order and applies them to a [`ConfigState`]. All
-//! decisions about a change (does its precondition hold, is its id a repeat, does it fit the other
-//! resources) are made at its offset and from the records before it alone, so all nodes decide
-//! alike. This crate does no I/O and keeps no time.
+//! Every node applies the same records to a [`ConfigState`]. The checks of a change (whether its
+//! precondition holds, whether its id is a repeat, whether it is consistent with the other
+//! resources) run at its offset and depend only on the records before it, so all nodes reach the
+//! same decision. This crate does no I/O and reads no clock.
 
 pub mod manifest;
 
--- a/crates/config/src/lookup.rs
+++ b/crates/config/src/lookup.rs
@@ -1,4 +1,4 @@
-//! Typed look-ups on the configuration.
+//! Typed lookups on the configuration.
 
 use havenstage_types::ids::{CallerName, EngineName, JobName, ModelName, PoolName};
 use havenstage_types::resource::{
@@ -10,51 +10,51 @@
 use crate::versions::PublishedVersion;
 
 impl ConfigState {
-    /// The resource with this key.
+    /// The resource with this key, or `None` when there is none.
     pub fn get(&self, key: &ResourceKey) -> Option<&Resource> {
         self.resources.get(key.kind, &key.name)
     }
 
-    /// Resources of one kind, by name.
+    /// Resources of one kind, sorted by name.
     pub fn list(&self, kind: ResourceKind) -> impl Iterator<Item = &Resource> {
         self.resources.list(kind)
     }
 
-    /// The job of this name.
+    /// The job of this name, or `None` when there is none.
     pub fn job(&self, name: &JobName) -> Option<&JobSpec> {
         as_job(self.resources.get(ResourceKind::Job, name.as_str())?)
     }
 
-    /// All jobs, by name.
+    /// All jobs, sorted by name.
     pub fn jobs(&self) -> impl Iterator<Item = (JobName, &JobSpec)> {
         self.list(ResourceKind::Job)
             .filter_map(|resource| Some((JobName::new(&resource.key.name), as_job(resource)?)))
     }
 
-    /// The pool of this name.
+    /// The pool of this name, or `None` when there is none.
     pub fn pool(&self, name: &PoolName) -> Option<&PoolSpec> {
         as_pool(self.resources.get(ResourceKind::Pool, name.as_str())?)
     }
 
-    /// All pools, by name.
+    /// All pools, sorted by name.
     pub fn pools(&self) -> impl Iterator<Item = (PoolName, &PoolSpec)> {
         self.list(ResourceKind::Pool)
             .filter_map(|resource| Some((PoolName::new(&resource.key.name), as_pool(resource)?)))
     }
 
-    /// The engine of this name.
+    /// The engine of this name, or `None` when there is none.
     pub fn engine(&self, name: &EngineName) -> Option<&EngineSpec> {
         self.engine_named(name.as_str())
     }
 
-    /// All engines, by name.
+    /// All engines, sorted by name.
     pub fn engines(&self) -> impl Iterator<Item = (EngineName, &EngineSpec)> {
         self.list(ResourceKind::Engine).filter_map(|resource| {
             Some((EngineName::new(&resource.key.name), as_engine(resource)?))
         })
     }
 
-    /// Engines of one pool, by name.
+    /// Engines of one pool, sorted by name.
     pub fn engines_of_pool<'a>(
         &'a self,
         pool: &PoolName,
@@ -64,12 +64,14 @@
             .filter_map(|name| Some((EngineName::new(name), self.engine_named(name)?)))
     }
 
-    /// The published version of `model` with the highest number. Takes logarithmic time.
+    /// The published version of `model` with the highest number, or `None` when none is published.
+    /// The lookup takes logarithmic time.
     pub fn newest_version(&self, model: &ModelName) -> Option<PublishedVersion> {
         self.resources.versions().newest(model).cloned()
     }
 
-    /// The rule for a caller: its own, or else the rule for callers without one.
+    /// The priority rule that applies to a caller: its own rule, or else the rule for all callers
+    /// without one.
     pub fn rule_for(&self, caller: &CallerName) -> Option<&PriorityRuleSpec> {
         let name = self
             .resources
--- a/crates/config/src/manifest.rs
+++ b/crates/config/src/manifest.rs
@@ -1,7 +1,7 @@
-//! Resources as operators write them, in JSON or TOML.
+//! Manifests: the form in which operators write resources, in JSON or TOML.
 //!
-//! A manifest names a kind, a name and a specification. A file holds one manifest, or several: a
-//! JSON array of them, or TOML tables named `[[resource]]`.
+//! A manifest consists of a kind, a name and a specification. A file holds one manifest, or
+//! several as a JSON array or as TOML tables named `[[resource]]`.
 
 use std::str::FromStr;
 
@@ -14,22 +14,23 @@
 use serde_json::Value;
 use thiserror::Error;
 
-/// A resource as an operator writes it; its specification has not been checked.
+/// A resource in the form in which an operator writes it. Its specification is not checked yet.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Manifest {
-    /// Kind of the resource.
+    /// Kind of the resource; decides which fields the specification has.
     pub kind: ResourceKind,
-    /// Name of the resource.
+    /// Name of the resource, unique among the resources of its kind.
     pub name: String,
-    /// Revision the manifest was read at; left out in manifests for new resources.
+    /// Revision of the resource from which the manifest was written; `None` in manifests for new
+    /// resources.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub revision: Option<Revision>,
-    /// Fields of the specification, by the kind's own names.
+    /// Fields of the specification, as the kind names them.
     pub spec: Value,
 }
 
-/// How a manifest file is written.
+/// Syntax of a manifest file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ManifestFormat {
     /// A JSON object, or an array of them.
@@ -38,11 +39,11 @@
     Toml,
 }
 
-/// A file name extension that stands for no manifest format.
+/// A file name extension that belongs to no manifest format.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("manifests end in .json or .toml, not in .{extension}")]
 pub struct UnknownFormat {
-    /// The extension given, without the dot.
+    /// The unknown extension, without the dot.
     pub extension: String,
 }
 
@@ -67,7 +68,7 @@
     /// The text is not JSON or TOML, or holds no manifests.
     #[error("not a manifest file: {reason}")]
     Syntax {
-        /// What the parser said, with the line where it knows it.
+        /// Message of the parser, with the line if the parser reports one.
         reason: String,
     },
     /// A field around the specification is missing, unknown or of the wrong type.
@@ -77,19 +78,19 @@
         position: usize,
         /// Path of the field; `.` is the manifest as a whole.
         field: String,
-        /// What the parser said.
+        /// Message of the parser.
         reason: String,
     },
     /// A field of the specification is missing, unknown or of the wrong type.
     #[error("{kind} {name}, spec field {field}: {reason}")]
     Spec {
-        /// Kind that the manifest names.
+        /// Kind that the manifest states.
         kind: ResourceKind,
-        /// Name that the manifest gives.
+        /// Name of the resource that the manifest states.
         name: String,
         /// Path of the field; `.` is the specification as a whole.
         field: String,
-        /// What the parser said.
+        /// Message of the parser.
         reason: String,
     },
 }
@@ -111,7 +112,7 @@
 ///
 /// # Errors
 ///
-/// The first fault found; no manifest is returned then.
+/// The first fault found. No manifest is returned in that case.
 pub fn parse(text: &str, format: ManifestFormat) -> Result<Vec<Manifest>, ManifestError> {
     let document = match format {
         ManifestFormat::Json => serde_json::from_str(text).map_err(syntax)?,
@@ -125,12 +126,12 @@
 ///
 /// # Errors
 ///
-/// The first fault found; no manifest is returned then.
+/// The first fault found. No manifest is returned in that case.
 pub fn from_document(document: Value) -> Result<Vec<Manifest>, ManifestError> {
-    manifests_of(document)?
+    split_document(document)?
         .into_iter()
         .enumerate()
-        .map(|(index, manifest)| read_envelope(index + 1, manifest))
+        .map(|(index, manifest)| parse_manifest(index + 1, manifest))
         .collect()
 }
 
@@ -140,7 +141,7 @@
     resource: Vec<Value>,
 }
 
-fn manifests_of(document: Value) -> Result<Vec<Value>, ManifestError> {
+fn split_document(document: Value) -> Result<Vec<Value>, ManifestError> {
     match document {
         Value::Array(manifests) => Ok(manifests),
         Value::Object(fields) if fields.contains_key("resource") => {
@@ -152,8 +153,8 @@
     }
 }
 
-fn read_envelope(position: usize, manifest: Value) -> Result<Manifest, ManifestError> {
-    read_with_path(manifest).map_err(|fault| ManifestError::Envelope {
+fn parse_manifest(position: usize, manifest: Value) -> Result<Manifest, ManifestError> {
+    parse_with_field_path(manifest).map_err(|fault| ManifestError::Envelope {
         position,
         field: fault.field,
         reason: fault.reason,
@@ -166,21 +167,21 @@
     }
 }
 
-struct FieldFault {
+struct FieldError {
     field: String,
     reason: String,
 }
 
-fn read_with_path<T: DeserializeOwned>(value: Value) -> Result<T, FieldFault> {
-    serde_path_to_error::deserialize(value).map_err(|error| FieldFault {
+fn parse_with_field_path<T: DeserializeOwned>(value: Value) -> Result<T, FieldError> {
+    serde_path_to_error::deserialize(value).map_err(|error| FieldError {
         field: error.path().to_string(),
         reason: error.inner().to_string(),
     })
 }
 
 impl Manifest {
-    /// Reads the specification as that of the manifest's kind. Ranges and references are checked by
-    /// [`crate::ConfigState::validate_spec`].
+    /// Parses the specification according to the kind of the manifest. It does not check ranges and
+    /// references; [`crate::ConfigState::validate_spec`] does.
     ///
     /// # Errors
     ///
@@ -190,11 +191,15 @@
             kind, name, spec, ..
         } = self;
         let read = match kind {
-            ResourceKind::Job => read_with_path(spec).map(ResourceSpec::Job),
-            ResourceKind::WeightVersion => read_with_path(spec).map(ResourceSpec::WeightVersion),
-            ResourceKind::Pool => read_with_path(spec).map(ResourceSpec::Pool),
-            ResourceKind::PriorityRule => read_with_path(spec).map(ResourceSpec::PriorityRule),
-            ResourceKind::Engine => read_with_path(spec).map(ResourceSpec::Engine),
+            ResourceKind::Job => parse_with_field_path(spec).map(ResourceSpec::Job),
+            ResourceKind::WeightVersion => {
+                parse_with_field_path(spec).map(ResourceSpec::WeightVersion)
+            }
+            ResourceKind::Pool => parse_with_field_path(spec).map(ResourceSpec::Pool),
+            ResourceKind::PriorityRule => {
+                parse_with_field_path(spec).map(ResourceSpec::PriorityRule)
+            }
+            ResourceKind::Engine => parse_with_field_path(spec).map(ResourceSpec::Engine),
         };
         match read {
             Ok(spec) => Ok((ResourceKey { kind, name }, spec)),
--- a/crates/config/src/recent.rs
+++ b/crates/config/src/recent.rs
@@ -1,13 +1,14 @@
-//! Outcomes of the most recent changes, by which repeats are recognised.
+//! Outcomes of the most recent changes, used to deduplicate repeated changes.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use havenstage_types::config::{ChangeOutcome, RecentChange};
 use havenstage_types::ids::ChangeId;
 
-/// Number of change ids remembered. It is part of the fold: readers with different limits would
-/// disagree on which changes are repeats. A repeat of a forgotten id is decided anew; its
-/// precondition then still keeps it from undoing a later change of a resource that exists.
+/// Number of change ids that are remembered. All nodes must use the same limit: readers with
+/// different limits would disagree on which changes are repeats. A repeat of a forgotten id is
+/// decided again; its precondition still prevents it from undoing a later change of a resource that
+/// exists.
 pub const RECENT_CHANGE_LIMIT: usize = 4096;
 
 /// The last [`RECENT_CHANGE_LIMIT`] change ids with their outcomes; the oldest is forgotten first.
@@ -18,12 +19,13 @@
 }
 
 impl RecentChanges {
-    /// The outcome of `id`, if it is still remembered.
+    /// The outcome of `id`, or `None` when the id was never stored or is forgotten.
     pub(crate) fn get(&self, id: &ChangeId) -> Option<&ChangeOutcome> {
         self.outcomes.get(id)
     }
 
-    /// Remembers the outcome of `id`; an outcome already known for it stays.
+    /// Stores the outcome of `id`, unless one is already stored. Forgets the oldest id when the limit
+    /// is exceeded.
     pub(crate) fn remember(&mut self, id: ChangeId, outcome: ChangeOutcome) {
         if self.outcomes.contains_key(&id) {
             return;
--- a/crates/config/src/resources.rs
+++ b/crates/config/src/resources.rs
@@ -1,4 +1,4 @@
-//! The table of resources and the indexes over it.
+//! The table of all resources, and indexes over it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -10,19 +10,21 @@
 
 use crate::versions::VersionIndex;
 
-/// All resources with the indexes that look-ups on hot paths need. Resources are shared, so that a
-/// clone of the state does not copy the prompts of every job.
+/// All resources, with the indexes for lookups on hot paths. Resources are reference-counted, so
+/// that a clone of the state does not copy the prompts of every job.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub(crate) struct ResourceTable {
     by_kind: BTreeMap<ResourceKind, BTreeMap<String, Arc<Resource>>>,
     engines_by_pool: BTreeMap<PoolName, BTreeSet<String>>,
+    /// Names of the priority rules of single callers.
     rules_by_caller: BTreeMap<CallerName, String>,
+    /// Name of the priority rule for all callers without their own.
     default_rule: Option<String>,
     versions: VersionIndex,
 }
 
 impl ResourceTable {
-    /// An empty table that knows the highest version numbers of a snapshot.
+    /// Creates an empty table with the highest version numbers of a snapshot.
     pub(crate) fn with_highest_versions(highest: BTreeMap<ModelName, VersionNumber>) -> Self {
         Self {
             versions: VersionIndex::with_highest(highest),
@@ -35,7 +37,7 @@
         self.by_kind.get(&kind)?.get(name).map(Arc::as_ref)
     }
 
-    /// Resources of one kind, by name.
+    /// Resources of one kind, sorted by name.
     pub(crate) fn list(&self, kind: ResourceKind) -> impl Iterator<Item = &Resource> {
         self.by_kind
             .get(&kind)
@@ -44,7 +46,7 @@
             .map(Arc::as_ref)
     }
 
-    /// All resources, by kind and name.
+    /// All resources, sorted by kind and name.
     pub(crate) fn all(&self) -> impl Iterator<Item = &Resource> {
         self.by_kind
             .values()
@@ -52,7 +54,7 @@
             .map(Arc::as_ref)
     }
 
-    /// Names of the engines of a pool, in order.
+    /// Names of the engines of a pool, in ascending order.
     pub(crate) fn engine_names_of_pool<'a>(
         &'a self,
         pool: &PoolName,
@@ -60,7 +62,8 @@
         self.engines_by_pool.get(pool).into_iter().flatten()
     }
 
-    /// Name of the rule that is for exactly this caller, or for `None` the rule of all others.
+    /// Name of the rule for exactly this caller or, when `caller` is `None`, of the rule for all
+    /// callers without their own.
     pub(crate) fn rule_name(&self, caller: Option<&CallerName>) -> Option<&String> {
         match caller {
             Some(caller) => self.rules_by_caller.get(caller),
@@ -68,12 +71,11 @@
         }
     }
 
-    /// The index of weight versions.
     pub(crate) fn versions(&self) -> &VersionIndex {
         &self.versions
     }
 
-    /// Puts a resource in place of the one with its key, if there is one.
+    /// Inserts a resource, replacing the one with the same key if there is one.
     pub(crate) fn put(&mut self, resource: Resource) {
         self.remove(&resource.key);
         self.index(&resource);
@@ -84,7 +86,7 @@
             .insert(name, Arc::new(resource));
     }
 
-    /// Removes a resource.
+    /// Removes the resource with this key; does nothing when there is none.
     pub(crate) fn remove(&mut self, key: &ResourceKey) {
         let Some(of_kind) = self.by_kind.get_mut(&key.kind) else {
             return;
--- a/crates/config/src/state.rs
+++ b/crates/config/src/state.rs
@@ -1,4 +1,4 @@
-//! The fold: records in, state and events out.
+//! The fold of the configuration stream: applies records to the state and reports events.
 
 use havenstage_types::config::{
     ChangeOutcome, ConfigChange, ConfigRecord, ConfigSnapshot, MemberList, Precondition,
@@ -11,14 +11,14 @@
 use crate::resources::ResourceTable;
 use crate::validate;
 
-/// What applying a record changed.
+/// What a record changed when it was applied.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ConfigEvent {
     /// The resource was created or replaced.
     Put(ResourceKey),
     /// The resource was deleted.
     Deleted(ResourceKey),
-    /// The change was refused; [`ConfigState::outcome_of`] says why.
+    /// The change was rejected; [`ConfigState::outcome_of`] returns the reason.
     Rejected(ChangeId),
     /// The member list was replaced.
     Members,
@@ -34,12 +34,12 @@
 }
 
 impl ConfigState {
-    /// Applies the record at `offset`. A record below [`ConfigState::next_offset`] was applied
-    /// before and is ignored.
+    /// Applies the record at `offset`. A record below [`ConfigState::next_offset`] is ignored, since
+    /// it was applied before.
     ///
     /// # Errors
     ///
-    /// [`FoldError::Gap`] when records before `offset` are missing; nothing is changed then.
+    /// [`FoldError::Gap`] when records before `offset` are missing; nothing is changed in that case.
     pub fn apply(
         &mut self,
         offset: LogOffset,
@@ -51,14 +51,15 @@
         let event = match record {
             ConfigRecord::Change(change) => self.apply_change(offset, change),
             ConfigRecord::Members(list) => self.apply_members(list),
-            // The records before it say the same; it only serves readers that start from it.
+            // A snapshot is_precondition_met the same state as the records before it. Only readers that start from it
+            // use it.
             ConfigRecord::Snapshot(_) => None,
         };
         Ok(event.into_iter().collect())
     }
 
-    /// Passes over the record at `offset`, which could not be decoded. All readers must do so
-    /// alike.
+    /// Moves past the record at `offset`, which could not be decoded. All readers must skip the same
+    /// records.
     ///
     /// # Errors
     ///
@@ -72,19 +73,19 @@
         self.next_offset
     }
 
-    /// The last member list, empty with epoch 0 before the first.
+    /// The current member list. Before the first one it is empty and has epoch 0.
     pub fn members(&self) -> &MemberList {
         &self.members
     }
 
-    /// What became of a recent change, or `None` when it has not been read yet or is older than
+    /// The outcome of a recent change, or `None` when it has not been applied yet or is older than
     /// the last [`crate::RECENT_CHANGE_LIMIT`] changes.
     pub fn outcome_of(&self, change: &ChangeId) -> Option<&ChangeOutcome> {
         self.recent_changes.get(change)
     }
 
-    /// Checks whether a specification (or with `None` a deletion) fits the resources there are now.
-    /// The fold makes the same check at the change's offset.
+    /// Checks whether a specification is valid and consistent with the current resources; with `None`
+    /// it checks a deletion. Applying a change makes the same check at the offset of the change.
     ///
     /// # Errors
     ///
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Everything the records below [`ConfigState::next_offset`] add up to.
+    /// Copies the state that results from the records below [`ConfigState::next_offset`].
     pub fn snapshot(&self) -> ConfigSnapshot {
         ConfigSnapshot {
             through: self.next_offset,
@@ -111,8 +112,8 @@
         }
     }
 
-    /// The state a snapshot was taken of. The next record to apply is the one at the snapshot's
-    /// `through`, which may lie before the snapshot's own record.
+    /// Restores the state from a snapshot. The next record to apply is the one at the offset
+    /// `through` of the snapshot, which may be before the record that is_precondition_met the snapshot.
     pub fn from_snapshot(snapshot: ConfigSnapshot) -> Self {
         let mut resources = ResourceTable::with_highest_versions(snapshot.highest_versions);
         for resource in snapshot.resources {
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Moves past `offset`; `false` when it was passed before.
+    /// Moves past `offset`. Returns `false` when it was passed before.
     fn advance(&mut self, offset: LogOffset) -> Result<bool, FoldError> {
         if offset < self.next_offset {
             return Ok(false);
@@ -159,12 +160,12 @@
 
     fn decide(&self, revision: Revision, change: &ConfigChange) -> ChangeOutcome {
         let found = self.get(&change.key).map(|resource| resource.revision);
-        let holds = match change.precondition {
+        let is_precondition_met = match change.precondition {
             Precondition::Absent => found.is_none(),
             Precondition::AtRevision(expected) => found == Some(expected),
         };
-        let deletes_nothing = change.spec.is_none() && found.is_none();
-        if !holds || deletes_nothing {
+        let is_deletion_of_absent_resource = change.spec.is_none() && found.is_none();
+        if !is_precondition_met || is_deletion_of_absent_resource {
             return ChangeOutcome::Conflict { found };
         }
         match self.validate_spec(&change.key, change.spec.as_ref()) {
--- a/crates/config/src/validate/fields.rs
+++ b/crates/config/src/validate/fields.rs
@@ -1,4 +1,4 @@
-//! Checks of single fields, without regard to other resources.
+//! Checks of single fields, independent of other resources.
 
 use std::fmt::Display;
 use std::ops::RangeInclusive;
@@ -49,7 +49,7 @@
     ))
 }
 
-/// The start of a text that may be too long to repeat in an error.
+/// Shortens a text, which may be too long for an error message.
 fn excerpt(text: &str) -> String {
     text.chars().take(*limits::NAME_LENGTH.end()).collect()
 }
--- a/crates/config/src/validate/mod.rs
+++ b/crates/config/src/validate/mod.rs
@@ -1,4 +1,4 @@
-//! Checks whether a specification is within its limits and fits the other resources.
+//! Checks whether a specification is within its limits and consistent with the other resources.
 
 pub mod limits;
 
@@ -9,7 +9,7 @@
 
 use crate::resources::ResourceTable;
 
-/// Checks a new or changed resource against the resources there are.
+/// Checks a new or changed resource on its own and against the current resources.
 pub(crate) fn check_put(
     resources: &ResourceTable,
     key: &ResourceKey,
@@ -26,7 +26,7 @@
     references::check_put(resources, key, spec)
 }
 
-/// Checks that no resource needs the one to be deleted.
+/// Checks that no other resource refers to the one to be deleted.
 pub(crate) fn check_delete(
     resources: &ResourceTable,
     key: &ResourceKey,
--- a/crates/config/src/validate/references.rs
+++ b/crates/config/src/validate/references.rs
@@ -8,7 +8,8 @@
 
 use crate::resources::ResourceTable;
 
-/// Checks that what a specification refers to exists and that what must be unique is.
+/// Checks that the resources to which a specification refers exist, that unchangeable fields stay
+/// and that unique values are unique.
 pub(super) fn check_put(
     resources: &ResourceTable,
     key: &ResourceKey,
@@ -20,11 +21,11 @@
         ResourceSpec::Engine(engine) => check_pool_exists(resources, &engine.pool),
         ResourceSpec::WeightVersion(version) => check_version(resources, existing, version),
         ResourceSpec::Pool(pool) => check_pool_model(existing, pool),
-        ResourceSpec::PriorityRule(rule) => check_only_rule(resources, key, rule),
+        ResourceSpec::PriorityRule(rule) => check_rule_is_unique(resources, key, rule),
     }
 }
 
-/// Checks that no resource needs the one to be deleted.
+/// Checks that no other resource refers to the one to be deleted.
 pub(super) fn check_delete(
     resources: &ResourceTable,
     key: &ResourceKey,
@@ -59,19 +60,20 @@
     })
 }
 
-/// A version never changes, as samples name it by its number alone; a new one has a higher number
-/// than every one before it, deleted ones included.
+/// Checks that an existing version stays the same, since samples refer to it only by its number, and
+/// that a new version has a higher number than all versions of its model before it, including
+/// deleted ones.
 fn check_version(
     resources: &ResourceTable,
     existing: Option<&Resource>,
     version: &WeightVersionSpec,
 ) -> Result<(), InvalidResource> {
     if let Some(Resource {
-        spec: ResourceSpec::WeightVersion(before),
+        spec: ResourceSpec::WeightVersion(current),
         ..
     }) = existing
     {
-        return check_same_version(before, version);
+        return check_same_version(current, version);
     }
     match resources.versions().highest(&version.model) {
         Some(highest) if version.number <= highest => Err(InvalidResource::OutOfRange {
@@ -84,14 +86,14 @@
 }
 
 fn check_same_version(
-    before: &WeightVersionSpec,
+    current: &WeightVersionSpec,
     version: &WeightVersionSpec,
 ) -> Result<(), InvalidResource> {
-    let changed_field = if before.model != version.model {
+    let changed_field = if current.model != version.model {
         "model"
-    } else if before.number != version.number {
+    } else if current.number != version.number {
         "number"
-    } else if before.location != version.location {
+    } else if current.location != version.location {
         "location"
     } else {
         return Ok(());
@@ -99,11 +101,11 @@
     Err(immutable(ResourceKind::WeightVersion, changed_field))
 }
 
-/// A pool keeps its model: version numbers of two models cannot be compared, and the staleness of
-/// the samples of its jobs would lose its meaning.
+/// Checks that a pool keeps its model. Version numbers of two models cannot be compared, so the
+/// staleness of the samples of its jobs would be undefined after a change.
 fn check_pool_model(existing: Option<&Resource>, pool: &PoolSpec) -> Result<(), InvalidResource> {
     match existing.map(|resource| &resource.spec) {
-        Some(ResourceSpec::Pool(before)) if before.model != pool.model => {
+        Some(ResourceSpec::Pool(current)) if current.model != pool.model => {
             Err(immutable(ResourceKind::Pool, "model"))
         }
         _ => Ok(()),
@@ -117,8 +119,9 @@
     }
 }
 
-/// At most one rule is for a given caller, and at most one for all others.
-fn check_only_rule(
+/// Checks that each caller has at most one rule, and that there is at most one rule for callers
+/// without their own.
+fn check_rule_is_unique(
     resources: &ResourceTable,
     key: &ResourceKey,
     rule: &PriorityRuleSpec,
@@ -144,8 +147,9 @@
         .find(|resource| matches!(&resource.spec, ResourceSpec::Job(job) if job.pool == pool))
 }
 
-/// The newest version is needed while a pool serves its model: without it the newest number, by
-/// which staleness is counted, would go down.
+/// Returns a pool that serves the model of the newest version, or `None` when `version` is not the
+/// newest one or no pool serves its model. Without the newest version the newest number, against
+/// which staleness is measured, would decrease.
 fn user_of_version<'a>(
     resources: &'a ResourceTable,
     version: &WeightVersionSpec,
--- a/crates/config/src/versions.rs
+++ b/crates/config/src/versions.rs
@@ -1,4 +1,4 @@
-//! Index of the weight versions of each model.
+//! Index of the published weight versions of each model.
 
 use std::collections::BTreeMap;
 
@@ -8,15 +8,15 @@
 /// A weight version that engines may be ordered to load.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PublishedVersion {
-    /// Number of the version.
+    /// Number of the version, unique within its model; a newer version has a higher one.
     pub number: VersionNumber,
-    /// Where the weight store keeps it.
+    /// Location of the weights in the weight store.
     pub location: String,
-    /// Revision of its resource.
+    /// Revision of the configuration resource that publishes the version.
     pub revision: Revision,
 }
 
-/// Published versions by model and number, and the highest number each model ever had.
+/// Published versions by model and number, and the highest number that each model ever had.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub(crate) struct VersionIndex {
     published: BTreeMap<ModelName, BTreeMap<VersionNumber, PublishedVersion>>,
@@ -24,7 +24,7 @@
 }
 
 impl VersionIndex {
-    /// Starts with the highest numbers of a snapshot and no published version.
+    /// Creates an index with the highest numbers of a snapshot and without published versions.
     pub(crate) fn with_highest(highest: BTreeMap<ModelName, VersionNumber>) -> Self {
         Self {
             published: BTreeMap::new(),
@@ -64,12 +64,12 @@
         Some(newest)
     }
 
-    /// The highest number `model` ever had, deleted versions included.
+    /// The highest number that `model` ever had, including deleted versions.
     pub(crate) fn highest(&self, model: &ModelName) -> Option<VersionNumber> {
         self.highest.get(model).copied()
     }
 
-    /// The highest numbers of all models.
+    /// The highest number that each model ever had, including deleted versions.
     pub(crate) fn all_highest(&self) -> &BTreeMap<ModelName, VersionNumber> {
         &self.highest
     }
--- a/crates/config/tests/common/mod.rs
+++ b/crates/config/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Builders shared by the tests of the fold.
+//! Builders of resources and changes for the tests of the configuration.
 #![allow(dead_code, reason = "each test file uses some of the builders")]
 
 use havenstage_config::{ConfigEvent, ConfigState};
@@ -98,8 +98,8 @@
     }
 }
 
-/// The precondition that holds for the resource now.
-pub fn current(state: &ConfigState, key: &ResourceKey) -> Precondition {
+/// The precondition that the current state of the resource meets.
+pub fn met_precondition(state: &ConfigState, key: &ResourceKey) -> Precondition {
     match state.get(key) {
         Some(resource) => Precondition::AtRevision(resource.revision),
         None => Precondition::Absent,
@@ -111,20 +111,20 @@
     state.apply(state.next_offset(), &record).expect("in order")
 }
 
-/// Applies a change whose precondition holds, under an id of its own, and gives its outcome.
+/// Applies a change with a unique id whose precondition is met, and returns its outcome.
 pub fn submit(
     state: &mut ConfigState,
     key: &ResourceKey,
     spec: Option<ResourceSpec>,
 ) -> ChangeOutcome {
     let id = format!("change-{}", state.next_offset());
-    let change = change(&id, key, current(state, key), spec);
+    let change = change(&id, key, met_precondition(state, key), spec);
     append(state, ConfigRecord::Change(change));
     let outcome = state.outcome_of(&ChangeId::new(id));
     outcome.expect("remembered").clone()
 }
 
-/// Like [`submit`], and the change must be accepted.
+/// Creates or replaces a resource like [`submit`], and asserts that the change is accepted.
 pub fn put(state: &mut ConfigState, kind: ResourceKind, name: &str, spec: ResourceSpec) {
     let offset = state.next_offset();
     let outcome = submit(state, &key(kind, name), Some(spec));
@@ -147,7 +147,7 @@
     state
 }
 
-/// A run of `proptest` that takes the same cases each time.
+/// Configuration of `proptest` with a fixed seed, so that every run takes the same cases.
 pub fn fixed_cases(cases: u32, seed: u64) -> Config {
     Config {
         cases,
--- a/crates/config/tests/common/stream.rs
+++ b/crates/config/tests/common/stream.rs
@@ -1,5 +1,5 @@
-//! Random configuration streams: changes of few resources, right and wrong preconditions, repeated
-//! ids, member lists, snapshots and records that cannot be decoded.
+//! Random configuration streams. They hold changes of a few resources with preconditions that are
+//! met or not, repeated ids, member lists, snapshots and records that cannot be decoded.
 
 use havenstage_config::ConfigState;
 use havenstage_types::config::{ConfigRecord, Precondition};
@@ -7,7 +7,7 @@
 use havenstage_types::resource::{PriorityClass, ResourceKey, ResourceKind, ResourceSpec};
 use proptest::prelude::*;
 
-use crate::common::{change, current, engine, job, key, members, pool, rule, version};
+use crate::common::{change, engine, job, key, members, met_precondition, pool, rule, version};
 
 /// A record, or `None` for one that cannot be decoded.
 pub type StreamEntry = Option<ConfigRecord>;
@@ -23,7 +23,7 @@
     }
 }
 
-/// The state after all entries below `end`.
+/// The state after all entries with an offset below `end`.
 pub fn fold(stream: &[StreamEntry], end: usize) -> ConfigState {
     let mut state = ConfigState::default();
     (0..end).for_each(|offset| deliver(&mut state, stream, offset));
@@ -35,12 +35,12 @@
     shape: u8,
     name: u8,
     value: u64,
-    deletes: bool,
-    right_precondition: bool,
+    is_deletion: bool,
+    is_precondition_met: bool,
 }
 
-/// Streams of up to `longest` entries.
-pub fn streams(longest: usize) -> impl Strategy<Value = Vec<StreamEntry>> {
+/// Streams of fewer than `length_limit` entries, at least one.
+pub fn streams(length_limit: usize) -> impl Strategy<Value = Vec<StreamEntry>> {
     let draft = (
         0..10u8,
         0..3u8,
@@ -48,27 +48,29 @@
         prop::bool::weighted(0.25),
         prop::bool::weighted(0.8),
     )
-        .prop_map(|(shape, name, value, deletes, right_precondition)| Draft {
-            shape,
-            name,
-            value,
-            deletes,
-            right_precondition,
-        });
-    prop::collection::vec(draft, 1..longest).prop_map(write_stream)
+        .prop_map(
+            |(shape, name, value, is_deletion, is_precondition_met)| Draft {
+                shape,
+                name,
+                value,
+                is_deletion,
+                is_precondition_met,
+            },
+        );
+    prop::collection::vec(draft, 1..length_limit).prop_map(build_stream)
 }
 
-fn write_stream(drafts: Vec<Draft>) -> Vec<StreamEntry> {
+fn build_stream(drafts: Vec<Draft>) -> Vec<StreamEntry> {
     let mut state = ConfigState::default();
     let mut stream = Vec::new();
     for draft in drafts {
-        stream.push(write_entry(&state, &draft));
+        stream.push(build_entry(&state, &draft));
         deliver(&mut state, &stream, stream.len() - 1);
     }
     stream
 }
 
-fn write_entry(state: &ConfigState, draft: &Draft) -> StreamEntry {
+fn build_entry(state: &ConfigState, draft: &Draft) -> StreamEntry {
     match draft.shape {
         0 => None,
         1 => Some(ConfigRecord::Snapshot(state.snapshot())),
@@ -76,23 +78,23 @@
             state.members().epoch + draft.value % 3,
             draft.value,
         )),
-        _ => Some(write_change(state, draft)),
+        _ => Some(build_change(state, draft)),
     }
 }
 
-fn write_change(state: &ConfigState, draft: &Draft) -> ConfigRecord {
-    let (key, spec) = write_resource(draft);
-    let precondition = match draft.right_precondition {
-        true => current(state, &key),
+fn build_change(state: &ConfigState, draft: &Draft) -> ConfigRecord {
+    let (key, spec) = build_resource(draft);
+    let precondition = match draft.is_precondition_met {
+        true => met_precondition(state, &key),
         false => Precondition::AtRevision(Revision(draft.value)),
     };
-    // Few ids, so that some changes are repeats of others.
+    // There are few ids, so that some changes repeat others.
     let id = format!("change-{}", (state.next_offset().0 * 7 + draft.value) % 40);
-    let spec = (!draft.deletes).then_some(spec);
+    let spec = (!draft.is_deletion).then_some(spec);
     ConfigRecord::Change(change(&id, &key, precondition, spec))
 }
 
-fn write_resource(draft: &Draft) -> (ResourceKey, ResourceSpec) {
+fn build_resource(draft: &Draft) -> (ResourceKey, ResourceSpec) {
     let name = format!("resource-{}", draft.name);
     let pool_name = format!("resource-{}", draft.value % 3);
     let (kind, spec) = match draft.shape {
--- a/crates/config/tests/lookups.rs
+++ b/crates/config/tests/lookups.rs
@@ -1,4 +1,4 @@
-//! Typed look-ups and the indexes behind them, and member lists.
+//! Typed lookups, the indexes that they use, and member lists.
 
 mod common;
 
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn engines_follow_their_pool() {
+fn pool_index_follows_moved_and_deleted_engines() {
     let mut state = state_with_pool("first");
     put(
         &mut state,
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_callers_own_rule_comes_before_the_rule_for_all() {
+fn the_rule_of_a_caller_takes_precedence_over_the_default_rule() {
     let mut state = ConfigState::default();
     let class_of = |state: &ConfigState, caller: &str| {
         let rule = state.rule_for(&CallerName::new(caller))?;
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn the_first_of_two_member_lists_of_an_epoch_wins() {
+fn only_the_first_member_list_of_the_next_epoch_is_applied() {
     let mut state = ConfigState::default();
     assert_eq!(append(&mut state, members(1, 7)), [ConfigEvent::Members]);
     assert_eq!(append(&mut state, members(1, 8)), []);
--- a/crates/config/tests/manifests.rs
+++ b/crates/config/tests/manifests.rs
@@ -1,4 +1,4 @@
-//! Manifests as operators write them, good and bad.
+//! Parsing of valid and invalid manifests.
 
 mod common;
 
@@ -31,7 +31,7 @@
     manifests.into_iter().map(read_one).collect()
 }
 
-fn fault_of_job(old: &str, new: &str) -> String {
+fn error_after_replacing(old: &str, new: &str) -> String {
     let text = TWO_RESOURCES.replace(old, new);
     assert_ne!(text, TWO_RESOURCES);
     let fault = read(&text, ManifestFormat::Toml).expect_err("must be refused");
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_toml_file_holds_one_or_many() {
+fn a_toml_file_holds_one_or_more_manifests() {
     let many = read(TWO_RESOURCES, ManifestFormat::Toml).expect("valid");
     let kinds: Vec<_> = many.iter().map(ResourceSpec::kind).collect();
     assert_eq!(kinds, [ResourceKind::Pool, ResourceKind::Job]);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_json_file_holds_one_or_many() {
+fn a_json_file_holds_one_or_more_manifests() {
     let one = r#"{"kind": "Pool", "name": "p", "spec": {"model": "tono"}}"#;
     assert_eq!(read(one, ManifestFormat::Json).expect("valid").len(), 1);
     let many = format!("[{one}, {one}]");
@@ -57,17 +57,17 @@
 }
 
 #[test]
-fn faults_name_kind_field_and_reason() {
+fn errors_name_kind_field_and_reason() {
     let faults = [
-        fault_of_job("staleness_bound = 1", "staleness_bound = -1"),
-        fault_of_job("staleness_bound = 1", "staleness_bound = 'one'"),
-        fault_of_job("staleness_bound = 1", "stalenes_bound = 1"),
-        fault_of_job("staleness_bound = 1", ""),
-        fault_of_job("max_tokens = 16", "max_tokens = 4294967296"),
-        fault_of_job("[\"p\"]", "[7]"),
-        fault_of_job("round-robin", "best"),
-        fault_of_job("\"Job\"", "\"Task\""),
-        fault_of_job("name = \"tone\"", "label = \"tone\""),
+        error_after_replacing("staleness_bound = 1", "staleness_bound = -1"),
+        error_after_replacing("staleness_bound = 1", "staleness_bound = 'one'"),
+        error_after_replacing("staleness_bound = 1", "stalenes_bound = 1"),
+        error_after_replacing("staleness_bound = 1", ""),
+        error_after_replacing("max_tokens = 16", "max_tokens = 4294967296"),
+        error_after_replacing("[\"p\"]", "[7]"),
+        error_after_replacing("round-robin", "best"),
+        error_after_replacing("\"Job\"", "\"Task\""),
+        error_after_replacing("name = \"tone\"", "label = \"tone\""),
     ];
     insta::assert_snapshot!(faults.join("\n"), @r#"
     Job tone, spec field staleness_bound: invalid value: integer `-1`, expected u64
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn text_that_is_no_manifest_is_refused() {
+fn text_without_a_manifest_is_rejected() {
     let broken = [
         ("{", ManifestFormat::Json),
         ("kind =", ManifestFormat::Toml),
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_resource_written_as_a_manifest_reads_back() {
+fn a_resource_written_as_a_manifest_parses_to_the_same_resource() {
     let resource = Resource {
         key: key(ResourceKind::Engine, "engine"),
         spec: ResourceSpec::Engine(common::engine("pool")),
--- a/crates/config/tests/operators.rs
+++ b/crates/config/tests/operators.rs
@@ -1,4 +1,4 @@
-//! Operators that race or repeat a change.
+//! Concurrent and repeated changes by operators.
 
 mod common;
 
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn exactly_one_of_two_racing_operators_wins() {
+fn exactly_one_of_two_concurrent_changes_is_accepted() {
     let pool = key(ResourceKind::Pool, "pool");
     let mut state = common::state_with_pool("pool");
     let at_first = Precondition::AtRevision(Revision(0));
@@ -37,14 +37,14 @@
 }
 
 #[test]
-fn a_repeat_keeps_the_first_outcome_and_does_nothing() {
+fn a_repeated_change_keeps_the_first_outcome_and_has_no_effect() {
     let pool = key(ResourceKind::Pool, "pool");
     let mut state = ConfigState::default();
     let create = change("create", &pool, Precondition::Absent, pool_with_reserve(20));
     append(&mut state, ConfigRecord::Change(create.clone()));
     submit(&mut state, &pool, None);
 
-    // The pool is absent again, so only the id keeps the repeat from being applied.
+    // The pool is absent again, so the precondition is met and only the id identifies the repeat.
     let repeated = append(&mut state, ConfigRecord::Change(create));
 
     assert_eq!(repeated, []);
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn deleting_what_does_not_exist_is_a_conflict() {
+fn deleting_an_absent_resource_is_a_conflict() {
     let mut state = ConfigState::default();
     let outcome = submit(&mut state, &key(ResourceKind::Pool, "pool"), None);
     assert_eq!(outcome, ChangeOutcome::Conflict { found: None });
--- a/crates/config/tests/readers.rs
+++ b/crates/config/tests/readers.rs
@@ -1,4 +1,5 @@
-//! Readers that get the stream in different ways reach the same state, and nothing undoes it.
+//! Readers that receive the stream with duplicates, from a snapshot or in full reach the same state,
+//! and delayed duplicates or snapshot records do not revert it.
 
 mod common;
 #[path = "common/stream.rs"]
@@ -11,14 +12,14 @@
 use proptest::prelude::*;
 use stream::{deliver, fold, streams};
 
-const LONGEST_STREAM: usize = 60;
+const STREAM_LENGTH_LIMIT: usize = 60;
 
 proptest! {
     #![proptest_config(fixed_cases(256, 1))]
 
     #[test]
-    fn duplicated_deliveries_reach_the_same_state(
-        stream in streams(LONGEST_STREAM),
+    fn duplicated_deliveries_lead_to_the_same_state(
+        stream in streams(STREAM_LENGTH_LIMIT),
         batches in prop::collection::vec((0..20usize, 1..10usize), 1..40),
     ) {
         let mut reader = ConfigState::default();
@@ -32,7 +33,7 @@
     }
 
     #[test]
-    fn late_duplicates_undo_nothing(stream in streams(LONGEST_STREAM), late in 0..LONGEST_STREAM) {
+    fn delayed_duplicates_revert_nothing(stream in streams(STREAM_LENGTH_LIMIT), late in 0..STREAM_LENGTH_LIMIT) {
         let full = fold(&stream, stream.len());
         let mut reader = full.clone();
         deliver(&mut reader, &stream, late % stream.len());
@@ -41,8 +42,8 @@
 
     #[test]
     fn snapshot_and_tail_equal_the_full_fold(
-        stream in streams(LONGEST_STREAM),
-        cut in 0..LONGEST_STREAM,
+        stream in streams(STREAM_LENGTH_LIMIT),
+        cut in 0..STREAM_LENGTH_LIMIT,
     ) {
         let cut = cut % stream.len();
         let bytes = postcard::to_stdvec(&fold(&stream, cut).snapshot()).expect("encodes");
@@ -54,7 +55,7 @@
 
     #[test]
     fn snapshots_in_the_stream_equal_the_fold_of_the_records_below(
-        stream in streams(LONGEST_STREAM),
+        stream in streams(STREAM_LENGTH_LIMIT),
     ) {
         for entry in &stream {
             let Some(ConfigRecord::Snapshot(snapshot)) = entry else { continue };
@@ -78,7 +79,7 @@
 }
 
 #[test]
-fn a_gap_is_refused_and_changes_nothing() {
+fn a_gap_is_rejected_and_changes_nothing() {
     let mut state = common::state_with_pool("pool");
     let before = state.clone();
     let gap = FoldError::Gap {
--- a/crates/config/tests/validation.rs
+++ b/crates/config/tests/validation.rs
@@ -1,4 +1,4 @@
-//! Changes that are out of range or do not fit the other resources.
+//! Changes that are out of range or inconsistent with the other resources.
 
 mod common;
 
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn names_are_short_and_of_few_characters() {
+fn names_have_limited_length_and_characters() {
     let state = ConfigState::default();
     let check = |name: &str| {
         let spec = ResourceSpec::Pool(pool());
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn the_specification_must_be_of_the_kind_of_its_key() {
+fn the_specification_must_match_the_kind_of_its_key() {
     let state = state_with_pool("pool");
     let fault = fault(
         &state,
--- a/crates/config/tests/versions.rs
+++ b/crates/config/tests/versions.rs
@@ -1,4 +1,4 @@
-//! Weight versions: numbers only rise, and a version never changes.
+//! Weight versions: numbers only increase, and a version never changes.
 
 mod common;
 
@@ -13,7 +13,7 @@
     submit(state, &key, Some(version(number)))
 }
 
-fn withdraw(state: &mut ConfigState, number: u64) -> ChangeOutcome {
+fn delete(state: &mut ConfigState, number: u64) -> ChangeOutcome {
     let key = key(ResourceKind::WeightVersion, &format!("tono-{number}"));
     submit(state, &key, None)
 }
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn numbers_must_rise() {
+fn numbers_must_increase() {
     let mut state = ConfigState::default();
     publish(&mut state, 5);
     for number in [4, 5] {
@@ -57,10 +57,10 @@
 }
 
 #[test]
-fn a_deleted_number_does_not_come_back_even_after_a_snapshot() {
+fn a_deleted_number_is_not_reused_even_after_a_snapshot() {
     let mut state = ConfigState::default();
     publish(&mut state, 5);
-    assert!(is_accepted(withdraw(&mut state, 5)));
+    assert!(is_accepted(delete(&mut state, 5)));
     let mut restored = ConfigState::from_snapshot(state.snapshot());
     for state in [&mut state, &mut restored] {
         assert!(!is_accepted(publish(state, 5)));
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn the_newest_version_stays_while_a_pool_serves_the_model() {
+fn the_newest_version_cannot_be_deleted_while_a_pool_serves_the_model() {
     let mut state = common::state_with_pool("pool");
     publish(&mut state, 5);
     publish(&mut state, 6);
@@ -79,8 +79,8 @@
         by_kind: ResourceKind::Pool,
         by_name: "pool".to_owned(),
     };
-    assert_eq!(withdraw(&mut state, 6), ChangeOutcome::Invalid(in_use));
-    assert!(is_accepted(withdraw(&mut state, 5)));
+    assert_eq!(delete(&mut state, 6), ChangeOutcome::Invalid(in_use));
+    assert!(is_accepted(delete(&mut state, 5)));
     assert_eq!(newest(&state), Some(6));
 }
 
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn models_are_counted_apart() {
+fn version_numbers_of_models_are_independent() {
     let mut state = ConfigState::default();
     publish(&mut state, 5);
     let mut other = pool();
@@ -122,5 +122,5 @@
         location: "aviso/1".to_owned(),
     });
     put(&mut state, ResourceKind::WeightVersion, "aviso-1", spec);
-    assert!(is_accepted(withdraw(&mut state, 5)));
+    assert!(is_accepted(delete(&mut state, 5)));
 }
