--- a/crates/config/src/manifest.rs
+++ b/crates/config/src/manifest.rs
@@ -154,7 +154,7 @@
 }
 
 fn parse_manifest(position: usize, manifest: Value) -> Result<Manifest, ManifestError> {
-    parse_with_field_path(manifest).map_err(|fault| ManifestError::Envelope {
+    parse_with_path(manifest).map_err(|fault| ManifestError::Envelope {
         position,
         field: fault.field,
         reason: fault.reason,
@@ -172,7 +172,7 @@
     reason: String,
 }
 
-fn parse_with_field_path<T: DeserializeOwned>(value: Value) -> Result<T, FieldError> {
+fn parse_with_path<T: DeserializeOwned>(value: Value) -> Result<T, FieldError> {
     serde_path_to_error::deserialize(value).map_err(|error| FieldError {
         field: error.path().to_string(),
         reason: error.inner().to_string(),
@@ -191,15 +191,11 @@
             kind, name, spec, ..
         } = self;
         let read = match kind {
-            ResourceKind::Job => parse_with_field_path(spec).map(ResourceSpec::Job),
-            ResourceKind::WeightVersion => {
-                parse_with_field_path(spec).map(ResourceSpec::WeightVersion)
-            }
-            ResourceKind::Pool => parse_with_field_path(spec).map(ResourceSpec::Pool),
-            ResourceKind::PriorityRule => {
-                parse_with_field_path(spec).map(ResourceSpec::PriorityRule)
-            }
-            ResourceKind::Engine => parse_with_field_path(spec).map(ResourceSpec::Engine),
+            ResourceKind::Job => parse_with_path(spec).map(ResourceSpec::Job),
+            ResourceKind::WeightVersion => parse_with_path(spec).map(ResourceSpec::WeightVersion),
+            ResourceKind::Pool => parse_with_path(spec).map(ResourceSpec::Pool),
+            ResourceKind::PriorityRule => parse_with_path(spec).map(ResourceSpec::PriorityRule),
+            ResourceKind::Engine => parse_with_path(spec).map(ResourceSpec::Engine),
         };
         match read {
             Ok(spec) => Ok((ResourceKey { kind, name }, spec)),
--- a/crates/config/src/recent.rs
+++ b/crates/config/src/recent.rs
@@ -24,8 +24,8 @@
         self.outcomes.get(id)
     }
 
-    /// Stores the outcome of `id`, unless one is already stored. Forgets the oldest id when the limit
-    /// is exceeded.
+    /// Stores the outcome of `id`, unless one is already stored. Forgets the oldest id when the
+    /// limit is exceeded.
     pub(crate) fn remember(&mut self, id: ChangeId, outcome: ChangeOutcome) {
         if self.outcomes.contains_key(&id) {
             return;
--- a/crates/config/src/state.rs
+++ b/crates/config/src/state.rs
@@ -34,12 +34,13 @@
 }
 
 impl ConfigState {
-    /// Applies the record at `offset`. A record below [`ConfigState::next_offset`] is ignored, since
-    /// it was applied before.
+    /// Applies the record at `offset`. A record below [`ConfigState::next_offset`] is ignored,
+    /// since it was applied before.
     ///
     /// # Errors
     ///
-    /// [`FoldError::Gap`] when records before `offset` are missing; nothing is changed in that case.
+    /// [`FoldError::Gap`] when records before `offset` are missing; nothing is changed in that
+    /// case.
     pub fn apply(
         &mut self,
         offset: LogOffset,
@@ -51,15 +52,15 @@
         let event = match record {
             ConfigRecord::Change(change) => self.apply_change(offset, change),
             ConfigRecord::Members(list) => self.apply_members(list),
-            // A snapshot is_precondition_met the same state as the records before it. Only readers that start from it
-            // use it.
+            // A snapshot holds the same state as the records before it. Only readers that start
+            // from it use it.
             ConfigRecord::Snapshot(_) => None,
         };
         Ok(event.into_iter().collect())
     }
 
-    /// Moves past the record at `offset`, which could not be decoded. All readers must skip the same
-    /// records.
+    /// Moves past the record at `offset`, which could not be decoded. All readers must skip the
+    /// same records.
     ///
     /// # Errors
     ///
@@ -84,8 +85,9 @@
         self.recent_changes.get(change)
     }
 
-    /// Checks whether a specification is valid and consistent with the current resources; with `None`
-    /// it checks a deletion. Applying a change makes the same check at the offset of the change.
+    /// Checks whether a specification is valid and consistent with the current resources; with
+    /// `None` it checks a deletion. Applying a change makes the same check at the offset of the
+    /// change.
     ///
     /// # Errors
     ///
@@ -113,7 +115,7 @@
     }
 
     /// Restores the state from a snapshot. The next record to apply is the one at the offset
-    /// `through` of the snapshot, which may be before the record that is_precondition_met the snapshot.
+    /// `through` of the snapshot, which may be before the record that holds it.
     pub fn from_snapshot(snapshot: ConfigSnapshot) -> Self {
         let mut resources = ResourceTable::with_highest_versions(snapshot.highest_versions);
         for resource in snapshot.resources {
--- a/crates/config/src/validate/mod.rs
+++ b/crates/config/src/validate/mod.rs
@@ -26,7 +26,7 @@
     references::check_put(resources, key, spec)
 }
 
-/// Checks that no other resource refers to the one to be deleted.
+/// Checks that no other resource needs the one to be deleted.
 pub(crate) fn check_delete(
     resources: &ResourceTable,
     key: &ResourceKey,
--- a/crates/config/src/validate/references.rs
+++ b/crates/config/src/validate/references.rs
@@ -8,8 +8,8 @@
 
 use crate::resources::ResourceTable;
 
-/// Checks that the resources to which a specification refers exist, that unchangeable fields stay
-/// and that unique values are unique.
+/// Checks that the resources to which a specification refers exist, that immutable fields
+/// keep their values and that unique values are unique.
 pub(super) fn check_put(
     resources: &ResourceTable,
     key: &ResourceKey,
@@ -25,7 +25,7 @@
     }
 }
 
-/// Checks that no other resource refers to the one to be deleted.
+/// Checks that no other resource needs the one to be deleted.
 pub(super) fn check_delete(
     resources: &ResourceTable,
     key: &ResourceKey,
@@ -60,8 +60,8 @@
     })
 }
 
-/// Checks that an existing version stays the same, since samples refer to it only by its number, and
-/// that a new version has a higher number than all versions of its model before it, including
+/// Checks that an existing version stays the same, since samples refer to it only by its number,
+/// and that a new version has a higher number than all versions of its model before it, including
 /// deleted ones.
 fn check_version(
     resources: &ResourceTable,
--- a/crates/config/tests/readers.rs
+++ b/crates/config/tests/readers.rs
@@ -1,5 +1,5 @@
-//! Readers that receive the stream with duplicates, from a snapshot or in full reach the same state,
-//! and delayed duplicates or snapshot records do not revert it.
+//! Readers that receive the stream with duplicates, from a snapshot or in full reach the same
+//! state, and delayed duplicates or snapshot records do not revert it.
 
 mod common;
 #[path = "common/stream.rs"]
--- a/crates/ledger/src/claims/entry.rs
+++ b/crates/ledger/src/claims/entry.rs
@@ -30,8 +30,8 @@
 
 impl KeyEntry {
     /// Applies a claim. It gets a free key; if another attempt holds the key, the claiming attempt
-    /// is closed permanently. A delayed duplicate of a closed attempt's claim restarts the retention
-    /// of the entry that closes the attempt.
+    /// is closed permanently. A delayed duplicate of a closed attempt's claim restarts the
+    /// retention of the entry that closes the attempt.
     pub(super) fn claim(&mut self, number: RecordNumber, claim: &Claim) {
         if self.is_closed(claim.attempt) {
             self.close(number, claim.attempt);
--- a/crates/ledger/src/jobs.rs
+++ b/crates/ledger/src/jobs.rs
@@ -102,8 +102,8 @@
         snapshot.0
     }
 
-    /// Copies the whole state, including the samples of the open steps, from which another reader can
-    /// continue.
+    /// Copies the whole state, including the samples of the open steps, from which another reader
+    /// can continue.
     pub fn snapshot(&self) -> JobSnapshot {
         JobSnapshot(self.clone())
     }
--- a/crates/ledger/src/jobs/step.rs
+++ b/crates/ledger/src/jobs/step.rs
@@ -63,9 +63,9 @@
         Some(sample.attempt)
     }
 
-    /// Stores `sample`, read at `offset`, in its slot. The caller checks that the slot is empty, except
-    /// when every commit counts: the slot then refers to the newest sample, and the samples before
-    /// it are delivered too.
+    /// Stores `sample`, read at `offset`, in its slot. The caller checks that the slot is empty,
+    /// except when every commit counts: the slot then refers to the newest sample, and the samples
+    /// before it are delivered too.
     pub(super) fn fill(&mut self, offset: LogOffset, sample: Sample) {
         self.slots.insert(sample.id.index, offset);
         self.samples.insert(offset, sample);
--- a/crates/ledger/src/jobs/view.rs
+++ b/crates/ledger/src/jobs/view.rs
@@ -54,8 +54,8 @@
         self.prompt_index(step, index).is_some() && self.filled_by(step, index).is_none()
     }
 
-    /// The attempt whose sample fills a slot of an open step, or `None` when the slot is empty, does
-    /// not exist or belongs to a step that is not open.
+    /// The attempt whose sample fills a slot of an open step, or `None` when the slot is empty,
+    /// does not exist or belongs to a step that is not open.
     pub fn filled_by(&self, step: StepNumber, index: u32) -> Option<AttemptId> {
         self.open.get(&step)?.filled_by(index)
     }
@@ -69,8 +69,8 @@
         }
     }
 
-    /// Index of the prompt to sample for a slot of an open step, or `None` when the step is not open
-    /// or has no such slot.
+    /// Index of the prompt to sample for a slot of an open step, or `None` when the step is not
+    /// open or has no such slot.
     pub fn prompt_index(&self, step: StepNumber, index: u32) -> Option<u32> {
         let prompt_count = self.rules()?.prompt_count;
         self.open.get(&step)?.prompt_index(index, prompt_count)
@@ -97,8 +97,8 @@
         self.oldest_step.0.checked_sub(1).map(StepNumber)
     }
 
-    /// Returns up to `max` accepted samples of `step` with an offset of at least `cursor`, in offset
-    /// order. The sequence is the same on every node.
+    /// Returns up to `max` accepted samples of `step` with an offset of at least `cursor`, in
+    /// offset order. The sequence is the same on every node.
     ///
     /// A cursor belongs to one step and starts at offset 0 for each step, because the stream
     /// interleaves the samples of steps that are open at the same time. For an acknowledged step
