--- a/crates/ledger/src/jobs.rs
+++ b/crates/ledger/src/jobs.rs
@@ -55,7 +55,7 @@
     opened_groups: u64,
     /// Steps from `oldest_step` on, without gaps.
     open: BTreeMap<StepNumber, OpenStep>,
-    /// Whether a commit for a filled slot is accepted too; set only by the simulator.
+    /// Whether a commit for a filled slot is accepted too; true only in simulations.
     #[serde(skip)]
     counts_every_commit: bool,
 }
@@ -91,8 +91,8 @@
         }
     }
 
-    /// Accepts every commit, even for a slot that is filled. Only the simulator uses this, to show
-    /// that samples then reach the trainer more than once.
+    /// Accepts every commit, even for a slot that is filled. This is for simulations only, which
+    /// show that samples then reach the trainer more than once.
     pub fn count_every_commit(&mut self) {
         self.counts_every_commit = true;
     }
