--- a/crates/membership/src/budget.rs
+++ b/crates/membership/src/budget.rs
@@ -1,4 +1,4 @@
-//! A token bucket that bounds the bytes of news a member sends.
+//! Token bucket that limits the bytes of member updates that a node sends.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 
 const MILLISECONDS_PER_SECOND: u128 = 1_000;
 
-/// Bytes that may be sent now, refilled at a steady rate up to a burst.
+/// Token bucket of bytes, refilled at a constant rate up to the burst size.
 #[derive(Debug, Clone)]
 pub(crate) struct ByteBudget {
     bytes_per_second: u32,
@@ -16,7 +16,7 @@
 }
 
 impl ByteBudget {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub(crate) fn new(bytes_per_second: u32, burst_bytes: u32) -> Self {
         Self {
             bytes_per_second,
@@ -26,9 +26,9 @@
         }
     }
 
-    /// Adds what came in since the last refill.
+    /// Adds the bytes earned since the last refill, up to the burst size.
     pub(crate) fn refill(&mut self, now: Moment) {
-        let gained = self.bytes_in(now.since(self.refilled_at));
+        let gained = self.bytes_earned_in(now.since(self.refilled_at));
         self.available = self.available.saturating_add(gained).min(self.burst_bytes);
         self.refilled_at = now;
     }
@@ -38,13 +38,13 @@
         usize::try_from(self.available).unwrap_or(usize::MAX)
     }
 
-    /// Takes bytes that were sent.
+    /// Subtracts bytes that were sent.
     pub(crate) fn spend(&mut self, bytes: usize) {
         let bytes = u32::try_from(bytes).unwrap_or(u32::MAX);
         self.available = self.available.saturating_sub(bytes);
     }
 
-    fn bytes_in(&self, elapsed: Duration) -> u32 {
+    fn bytes_earned_in(&self, elapsed: Duration) -> u32 {
         let bytes = elapsed.as_millis() * u128::from(self.bytes_per_second);
         u32::try_from(bytes / MILLISECONDS_PER_SECOND).unwrap_or(u32::MAX)
     }
--- a/crates/membership/src/freshness.rs
+++ b/crates/membership/src/freshness.rs
@@ -1,9 +1,9 @@
 //! Whether this node's configuration is recent enough to take new work.
 //!
-//! Two kinds of evidence count, and both are dated by the moment the question was sent, never by
-//! the moment the answer came, since a process may be frozen in between:
-//! - word of the log's end, from the log itself or passed on by a peer;
-//! - answers of a strict majority of the members that the log last named.
+//! Two kinds of evidence count. Both are dated by the time at which the request was sent, never by
+//! the time at which the answer arrived, since the process may be suspended in between:
+//! - a report of the end of the configuration log, from the log itself or relayed by a peer;
+//! - answers of a strict majority of the latest member list that the log contains.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,30 +13,31 @@
 use havenstage_types::ids::{LogOffset, NodeId};
 use thiserror::Error;
 
-/// The node must refuse new work: its configuration may be out of date.
+/// The configuration may be out of date, so the node must refuse new work.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error(
     "the configuration is stale: applied {applied}, last known end {known_end:?} as of \
      {log_word_age:?} ago, heard {heard} of {named} members within {bound:?}"
 )]
 pub struct StaleConfig {
-    /// The freshness bound.
+    /// Maximum age of evidence that counts.
     pub bound: Duration,
-    /// Offset this node has applied.
+    /// Offset up to which this node has applied the configuration log.
     pub applied: LogOffset,
-    /// Age of the youngest word of the log's end.
+    /// Age of the latest report of the log's end; `None` without any report.
     pub log_word_age: Option<Duration>,
-    /// The end which that word named.
+    /// The log end in that report.
     pub known_end: Option<LogOffset>,
-    /// Highest offset reported by a member heard within the bound.
+    /// Highest applied offset among members that answered within the bound; `None` if none did.
     pub highest_heard: Option<LogOffset>,
-    /// Members of the last named list heard within the bound, this node included.
+    /// Number of listed members that answered within the bound; this node counts if listed.
     pub heard: usize,
-    /// Members of the last named list.
+    /// Number of members in the latest member list.
     pub named: usize,
 }
 
-/// A moment of this process's clock, or before its start when a peer's word is older than that.
+/// Time in milliseconds on this process's clock; negative if a relayed report dates from before
+/// the start of the clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct KnownAsOf(i64);
 
@@ -54,101 +55,113 @@
     }
 }
 
-/// A member's latest answer.
+/// Latest answer of a member.
 #[derive(Debug, Clone, Copy)]
-struct Heard {
+struct MemberReport {
     asked_at: Moment,
     config_offset: LogOffset,
 }
 
-/// What a node knows about how recent its configuration is.
+/// Evidence of how recent this node's configuration is.
 #[derive(Debug, Clone)]
 pub struct Freshness {
     bound: Duration,
-    /// For each end named, the latest moment as of which it held. A higher end is always known as
-    /// of a later moment; other words say nothing new and are dropped.
-    words: BTreeMap<LogOffset, KnownAsOf>,
-    heard: BTreeMap<NodeId, Heard>,
-    /// What was known before this moment does not count; `None` when the process was never frozen.
+    /// For each reported log end, the latest time at which it was the end. A higher end always has
+    /// a later time; reports that break this order are redundant and dropped.
+    log_ends: BTreeMap<LogOffset, KnownAsOf>,
+    member_reports: BTreeMap<NodeId, MemberReport>,
+    /// Evidence from before this time does not count; `None` if the process was never suspended.
     not_before: Option<Moment>,
 }
 
 impl Freshness {
-    /// Knows nothing yet, so the configuration is stale.
+    /// Creates a state without evidence, in which the configuration is stale.
     pub fn new(bound: Duration) -> Self {
         Self {
             bound,
-            words: BTreeMap::new(),
-            heard: BTreeMap::new(),
+            log_ends: BTreeMap::new(),
+            member_reports: BTreeMap::new(),
             not_before: None,
         }
     }
 
-    /// The process was paused and goes on at `now`: nothing that was asked or known before counts
-    /// any more, since others may have acted on a change in the meantime.
-    pub fn forget_before(&mut self, now: Moment) {
-        self.words.clear();
-        self.heard.clear();
+    /// Discards all evidence requested before `now`, at which a suspended process resumes: other
+    /// members may have acted on a change in the meantime.
+    pub fn discard_before(&mut self, now: Moment) {
+        self.log_ends.clear();
+        self.member_reports.clear();
         self.not_before = Some(now);
     }
 
-    /// The log, asked at `asked_at`, named the end of the configuration stream.
-    pub fn log_word(&mut self, asked_at: Moment, end: LogOffset) {
-        self.add_word(KnownAsOf::before(asked_at, Duration::ZERO), end);
+    /// Records the end of the configuration stream that the log returned to a request sent at
+    /// `asked_at`.
+    pub fn record_log_end(&mut self, asked_at: Moment, end: LogOffset) {
+        self.add_log_end(KnownAsOf::before(asked_at, Duration::ZERO), end);
     }
 
-    /// A peer, asked at `asked_at`, answered that it knew `end` to be the end `age` ago.
-    pub fn relayed_log_word(&mut self, asked_at: Moment, age: Duration, end: LogOffset) {
-        self.add_word(KnownAsOf::before(asked_at, age), end);
+    /// Records the answer of a peer, to a request sent at `asked_at`, that `end` was the log's end
+    /// `age` ago.
+    pub fn record_relayed_log_end(&mut self, asked_at: Moment, age: Duration, end: LogOffset) {
+        self.add_log_end(KnownAsOf::before(asked_at, age), end);
     }
 
-    /// A member answered a question sent at `asked_at` and has applied `config_offset`.
-    pub fn heard_member(&mut self, asked_at: Moment, member: NodeId, config_offset: LogOffset) {
+    /// Records that a member, in answer to a request sent at `asked_at`, reported that it has
+    /// applied `config_offset`.
+    pub fn record_member_report(
+        &mut self,
+        asked_at: Moment,
+        member: NodeId,
+        config_offset: LogOffset,
+    ) {
         if Some(asked_at) < self.not_before {
             return;
         }
-        let heard = Heard {
+        let report = MemberReport {
             asked_at,
             config_offset,
         };
-        match self.heard.get_mut(&member) {
+        match self.member_reports.get_mut(&member) {
             Some(earlier) if earlier.asked_at > asked_at => {
                 earlier.config_offset = earlier.config_offset.max(config_offset);
             }
             _ => {
-                self.heard.insert(member, heard);
+                self.member_reports.insert(member, report);
             }
         }
     }
 
-    /// Drops what is older than the bound and can no longer count.
-    pub fn forget_old(&mut self, now: Moment) {
+    /// Drops evidence older than the bound, except the latest report of the log's end.
+    pub fn discard_expired(&mut self, now: Moment) {
         let bound = self.bound;
-        self.heard
-            .retain(|_, heard| now.since(heard.asked_at) <= bound);
-        let youngest = self.words.last_key_value().map(|(end, _)| *end);
-        self.words
+        self.member_reports
+            .retain(|_, report| now.since(report.asked_at) <= bound);
+        let youngest = self.log_ends.last_key_value().map(|(end, _)| *end);
+        self.log_ends
             .retain(|end, as_of| as_of.age(now) <= bound || Some(*end) == youngest);
     }
 
-    /// Age of the youngest word of the log's end, whether or not this node has applied it.
-    pub fn log_word_age(&self, now: Moment) -> Option<Duration> {
-        let (_, as_of) = self.words.last_key_value()?;
+    /// Age of the latest report of the log's end, whether or not this node has applied it.
+    pub fn log_end_age(&self, now: Moment) -> Option<Duration> {
+        let (_, as_of) = self.log_ends.last_key_value()?;
         Some(as_of.age(now))
     }
 
-    /// Age of the youngest word that named no more than `applied`: so long ago, the log held
-    /// nothing that this node lacks. This is what may be passed on.
-    pub fn applied_log_word_age(&self, now: Moment, applied: LogOffset) -> Option<Duration> {
-        let (_, as_of) = self.words.range(..=applied).next_back()?;
+    /// Age of the latest report whose log end is at most `applied`: at that time this node lacked no
+    /// record of the log. Only this age may be relayed to other members.
+    pub fn applied_log_end_age(&self, now: Moment, applied: LogOffset) -> Option<Duration> {
+        let (_, as_of) = self.log_ends.range(..=applied).next_back()?;
         Some(as_of.age(now))
     }
 
     /// Checks whether the node may take new work now.
     ///
-    /// It may if, as of a moment within the bound, the log held nothing that it has not applied;
-    /// or if a strict majority of `last_named` was heard within the bound (`self_id` counts as
-    /// heard) and no member heard has applied more.
+    /// It may if at some time within the bound the log contained no record beyond `applied`; or if a
+    /// strict majority of `last_named`, the latest member list, answered within the bound (`self_id`
+    /// counts as answered) and none of the members that answered has applied more.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`StaleConfig`] if neither condition holds.
     pub fn check(
         &self,
         now: Moment,
@@ -156,13 +169,13 @@
         last_named: &MemberList,
         self_id: NodeId,
     ) -> Result<(), StaleConfig> {
-        let word_age = self.applied_log_word_age(now, applied);
-        if word_age.is_some_and(|age| age <= self.bound) {
+        let log_end_age = self.applied_log_end_age(now, applied);
+        if log_end_age.is_some_and(|age| age <= self.bound) {
             return Ok(());
         }
-        let heard = self.count_heard(now, last_named, self_id);
+        let heard = self.count_answered(now, last_named, self_id);
         let named = last_named.members.len();
-        let highest_heard = self.highest_heard(now);
+        let highest_heard = self.highest_answered_offset(now);
         let has_majority = heard * 2 > named;
         let is_behind = highest_heard.is_some_and(|highest| highest > applied);
         if has_majority && !is_behind {
@@ -171,50 +184,50 @@
         Err(StaleConfig {
             bound: self.bound,
             applied,
-            log_word_age: self.log_word_age(now),
-            known_end: self.words.last_key_value().map(|(end, _)| *end),
+            log_word_age: self.log_end_age(now),
+            known_end: self.log_ends.last_key_value().map(|(end, _)| *end),
             highest_heard,
             heard,
             named,
         })
     }
 
-    fn add_word(&mut self, as_of: KnownAsOf, end: LogOffset) {
+    fn add_log_end(&mut self, as_of: KnownAsOf, end: LogOffset) {
         let not_before = self.not_before;
         if not_before.is_some_and(|moment| as_of < KnownAsOf::before(moment, Duration::ZERO)) {
             return;
         }
-        let says_nothing_new = self
-            .words
+        let is_redundant = self
+            .log_ends
             .range(..=end)
             .any(|(_, known_as_of)| *known_as_of >= as_of);
-        if says_nothing_new {
+        if is_redundant {
             return;
         }
-        self.words
+        self.log_ends
             .retain(|known_end, known_as_of| *known_end < end || *known_as_of > as_of);
-        self.words.insert(end, as_of);
+        self.log_ends.insert(end, as_of);
     }
 
-    fn count_heard(&self, now: Moment, last_named: &MemberList, self_id: NodeId) -> usize {
+    fn count_answered(&self, now: Moment, last_named: &MemberList, self_id: NodeId) -> usize {
         last_named
             .members
             .iter()
-            .filter(|member| member.id == self_id || self.is_heard(now, member.id))
+            .filter(|member| member.id == self_id || self.has_answered(now, member.id))
             .count()
     }
 
-    fn is_heard(&self, now: Moment, member: NodeId) -> bool {
-        self.heard
+    fn has_answered(&self, now: Moment, member: NodeId) -> bool {
+        self.member_reports
             .get(&member)
-            .is_some_and(|heard| now.since(heard.asked_at) <= self.bound)
+            .is_some_and(|report| now.since(report.asked_at) <= self.bound)
     }
 
-    fn highest_heard(&self, now: Moment) -> Option<LogOffset> {
-        self.heard
+    fn highest_answered_offset(&self, now: Moment) -> Option<LogOffset> {
+        self.member_reports
             .values()
-            .filter(|heard| now.since(heard.asked_at) <= self.bound)
-            .map(|heard| heard.config_offset)
+            .filter(|report| now.since(report.asked_at) <= self.bound)
+            .map(|report| report.config_offset)
             .max()
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,18 +1,20 @@
 //! Membership of a havenstage deployment: SWIM failure detection with suspicion, role ownership
 //! by rendezvous hashing, and the freshness of the configuration.
 //!
-//! Everything here is a pure state machine: time and a random seed are passed in, packets to send
-//! come out.
+//! The crate is a state machine without I/O: the caller passes in the time, a random seed and
+//! received packets, and sends the packets that the state machine returns.
 //!
-//! # What happens around a cut between zones
+//! # Network partitions between zones
 //!
-//! Each side declares the other dead and takes over its roles, so that a zone which still reaches
-//! the log goes on working. While the cut lasts, each member pings one member it holds dead every
-//! [`MembershipSettings::reconnect_interval`]. When the cut heals, the two sides meet through these
-//! pings and tell each other of their verdicts, together with the number of members each believes
-//! to run. A verdict from a member that the receiver itself holds dead counts only if the sender's
-//! side is the larger one (equal sizes: the sender has the lower id). So the members of the smaller
-//! side get [`MembershipAction::DeclaredDead`] and come back with new ids; the larger side stays.
+//! Each side declares the other dead and takes over its roles, so that a zone that can still reach
+//! the log continues to work. During the network partition, each member sends a join request to one
+//! address of a dead member or of a seed without a running member every
+//! [`MembershipSettings::reconnect_interval`]. After the network partition ends, these requests
+//! reconnect the two sides, which exchange their death declarations and the number of members that
+//! each side believes to be running. A receiver accepts a death declaration from a sender that it
+//! considers dead only if the sender's side is the larger one (if equal, the lower node id wins).
+//! So the members of the smaller side get [`MembershipAction::DeclaredDead`] and rejoin with new
+//! ids; the larger side keeps running.
 
 mod budget;
 pub mod freshness;
--- a/crates/membership/src/machine.rs
+++ b/crates/membership/src/machine.rs
@@ -1,4 +1,4 @@
-//! The membership state machine: its state, its entry point and how it sends.
+//! The membership state machine: its state, its entry point and the sending of packets.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,16 +18,16 @@
 use crate::budget::ByteBudget;
 use crate::freshness::{Freshness, StaleConfig};
 use crate::message::{MembershipAction, MembershipInput};
-use crate::packets::VerdictTold;
-use crate::probes::{ProbeOrder, Purpose, Questions};
+use crate::packets::DeathNotices;
+use crate::probes::{PendingRequests, ProbeOrder, Purpose};
 use crate::roster::{Peer, Roster};
 use crate::settings::MembershipSettings;
 use crate::update_queue::UpdateQueue;
 
-/// Room kept in a datagram for the packet's own fields.
+/// Bytes reserved in a datagram for the packet's fields other than updates.
 const PACKET_HEADER_BYTES: usize = 64;
 
-/// One node's part in the membership protocol.
+/// Membership protocol state of one node.
 #[derive(Debug, Clone)]
 pub struct Membership {
     pub(crate) settings: MembershipSettings,
@@ -36,25 +36,25 @@
     pub(crate) rng: ChaCha8Rng,
     pub(crate) roster: Roster,
     pub(crate) freshness: Freshness,
-    pub(crate) questions: Questions,
+    pub(crate) pending_requests: PendingRequests,
     pub(crate) updates: UpdateQueue,
     pub(crate) budget: ByteBudget,
     pub(crate) probe_order: ProbeOrder,
-    pub(crate) hearing_order: ProbeOrder,
+    pub(crate) poll_order: ProbeOrder,
     pub(crate) seeds: Vec<SocketAddr>,
     pub(crate) schedule: Schedule,
     pub(crate) applied: LogOffset,
-    /// An offset that an operator waits for.
-    pub(crate) awaited: Option<LogOffset>,
+    /// Offset that an operator waits for all members to apply.
+    pub(crate) awaited_offset: Option<LogOffset>,
     /// When each member was last pinged.
-    pub(crate) last_asked: BTreeMap<NodeId, Moment>,
-    /// Who was asked for the member list last, and when.
-    pub(crate) member_list_asked: Option<(SocketAddr, Moment)>,
+    pub(crate) last_pinged: BTreeMap<NodeId, Moment>,
+    /// Address to which the last member list request was sent, and when.
+    pub(crate) member_list_request: Option<(SocketAddr, Moment)>,
     pub(crate) declared_dead: bool,
-    /// Members held dead that still send.
-    pub(crate) verdicts_told: BTreeMap<NodeId, VerdictTold>,
-    /// When this process last found that it had not run for a while.
-    pub(crate) woken_at: Option<Moment>,
+    /// Death declarations sent to members that this node considers dead but that still send.
+    pub(crate) death_notices: BTreeMap<NodeId, DeathNotices>,
+    /// When this process last detected that it had been suspended.
+    pub(crate) resumed_at: Option<Moment>,
     pub(crate) actions: Vec<MembershipAction>,
 }
 
@@ -67,14 +67,14 @@
     pub(crate) next_reconnect: Moment,
     pub(crate) next_join: Moment,
     pub(crate) joins_left: u32,
-    pub(crate) next_behind: Moment,
-    pub(crate) next_introduction: Moment,
-    /// Thousandths of pings that are owed to hear members.
-    pub(crate) hearing_owed: u64,
+    pub(crate) next_behind_report: Moment,
+    pub(crate) next_identity_request: Moment,
+    /// Polls due, in units of 1 / `PARTS_PER_POLL` of a poll.
+    pub(crate) due_poll_parts: u64,
 }
 
 impl Membership {
-    /// A member that knows only itself. `seed` feeds all random choices. The settings must have
+    /// Creates a member that knows only itself. `seed` seeds all random choices. The settings must have
     /// passed [`MembershipSettings::validate`].
     pub fn new(identity: MemberIdentity, settings: MembershipSettings, seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
@@ -84,7 +84,7 @@
         Self {
             self_id,
             self_address: identity.peer_address,
-            questions: Questions::new(&mut rng),
+            pending_requests: PendingRequests::new(&mut rng),
             rng,
             roster: Roster::new(identity, settings.suspicion_timeout),
             freshness: Freshness::new(settings.freshness_bound),
@@ -94,25 +94,25 @@
                 settings.update_burst_bytes,
             ),
             probe_order: ProbeOrder::default(),
-            hearing_order: ProbeOrder::default(),
+            poll_order: ProbeOrder::default(),
             seeds: Vec::new(),
             schedule: Schedule::default(),
             applied: LogOffset::default(),
-            awaited: None,
-            last_asked: BTreeMap::new(),
-            member_list_asked: None,
+            awaited_offset: None,
+            last_pinged: BTreeMap::new(),
+            member_list_request: None,
             declared_dead: false,
-            verdicts_told: BTreeMap::new(),
-            woken_at: None,
+            death_notices: BTreeMap::new(),
+            resumed_at: None,
             actions: Vec::new(),
             settings,
         }
     }
 
-    /// Takes an event and returns what to do. `now` must never go back.
+    /// Handles an event and returns the actions to perform. `now` must never decrease.
     pub fn handle(&mut self, now: Moment, input: MembershipInput) -> Vec<MembershipAction> {
         if !self.declared_dead {
-            self.notice_stall(now);
+            self.detect_suspension(now);
         }
         if !self.declared_dead {
             self.dispatch(now, input);
@@ -130,7 +130,7 @@
         self.schedule.next_tick.unwrap_or_default()
     }
 
-    /// What this node knows about how recent its configuration is.
+    /// Evidence of how recent this node's configuration is.
     pub fn freshness(&self) -> &Freshness {
         &self.freshness
     }
@@ -146,10 +146,10 @@
             .schedule
             .next_tick
             .map_or(Duration::ZERO, |due| now.since(due));
-        if self.is_stall(late) {
-            // Frozen until a moment ago and not ticked since: what was known before may be undone.
+        if self.is_suspension(late) {
+            // The process was suspended and has not ticked since: earlier evidence may be outdated.
             let mut freshness = self.freshness.clone();
-            freshness.forget_before(now);
+            freshness.discard_before(now);
             return freshness.check(now, applied, last_named, self.self_id);
         }
         self.freshness.check(now, applied, last_named, self.self_id)
@@ -160,16 +160,20 @@
             MembershipInput::Tick => self.tick(now),
             MembershipInput::Packet { from, packet } => self.receive(now, from, packet),
             MembershipInput::Seeds(seeds) => self.set_seeds(now, seeds),
-            MembershipInput::ConfigApplied(offset) => self.config_applied(offset),
-            MembershipInput::LogWord { asked_at, end } => self.freshness.log_word(asked_at, end),
-            MembershipInput::AwaitConfig(offset) => self.awaited = self.awaited.max(Some(offset)),
+            MembershipInput::ConfigApplied(offset) => self.record_config_applied(offset),
+            MembershipInput::LogEndReport { asked_at, end } => {
+                self.freshness.record_log_end(asked_at, end)
+            }
+            MembershipInput::AwaitConfig(offset) => {
+                self.awaited_offset = self.awaited_offset.max(Some(offset))
+            }
             MembershipInput::Leave => self.leave(now),
         }
     }
 
-    fn config_applied(&mut self, offset: LogOffset) {
+    fn record_config_applied(&mut self, offset: LogOffset) {
         self.applied = self.applied.max(offset);
-        self.roster.note_config_offset(self.self_id, self.applied);
+        self.roster.record_config_offset(self.self_id, self.applied);
     }
 
     fn leave(&mut self, now: Moment) {
@@ -177,46 +181,45 @@
             return;
         }
         self.roster.leave();
-        self.note_change(self.self_id);
+        self.record_change(self.self_id);
         self.gossip_updates(now);
     }
 
-    /// A member's state changed: pass it on and tell the caller.
-    pub(crate) fn note_change(&mut self, member: NodeId) {
+    /// Queues a member's changed state for gossip and reports the change to the caller.
+    pub(crate) fn record_change(&mut self, member: NodeId) {
         self.updates.add(member);
-        self.tell_view_changed();
+        self.report_view_changed();
     }
 
-    /// Tells the caller once.
-    pub(crate) fn tell_view_changed(&mut self) {
-        let is_told = self.actions.contains(&MembershipAction::ViewChanged);
-        if !is_told {
+    /// Adds one [`MembershipAction::ViewChanged`] to the pending actions.
+    pub(crate) fn report_view_changed(&mut self) {
+        let is_reported = self.actions.contains(&MembershipAction::ViewChanged);
+        if !is_reported {
             self.actions.push(MembershipAction::ViewChanged);
         }
     }
 
-    /// The others' verdict is final.
-    pub(crate) fn become_dead(&mut self) {
+    /// Accepts that the other members declared this node dead, which is final.
+    pub(crate) fn accept_self_death(&mut self) {
         self.declared_dead = true;
         self.roster.declare_dead(Moment::default(), self.self_id);
-        self.tell_view_changed();
+        self.report_view_changed();
         self.actions.push(MembershipAction::DeclaredDead);
     }
 
-    /// Pings a member.
     pub(crate) fn ping(&mut self, now: Moment, peer: Peer, purpose: Purpose) {
-        self.last_asked.insert(peer.id, now);
-        let sequence = self.questions.ask(now, peer.id, purpose);
+        self.last_pinged.insert(peer.id, now);
+        let sequence = self.pending_requests.add(now, peer.id, purpose);
         self.send(now, peer, GossipBody::Ping { sequence });
     }
 
-    /// Sends to a member, with pending news.
+    /// Sends a packet with pending updates to a member.
     pub(crate) fn send(&mut self, now: Moment, peer: Peer, body: GossipBody) {
         let updates = self.select_updates(peer.id);
         self.send_updates(now, peer.address, body, updates);
     }
 
-    /// Sends exactly the given news.
+    /// Sends a packet with exactly the given updates.
     pub(crate) fn send_updates(
         &mut self,
         now: Moment,
@@ -227,7 +230,7 @@
         let packet = GossipPacket {
             from: self.self_id,
             config_offset: self.applied,
-            log_word_age: self.log_word_age_to_relay(now),
+            log_word_age: self.relayable_log_end_age(now),
             running_members: u32::try_from(self.roster.running_count()).unwrap_or(u32::MAX),
             body,
             updates,
@@ -235,16 +238,17 @@
         self.actions.push(MembershipAction::Send { to, packet });
     }
 
-    /// Word that is older than the bound is of no use to anybody.
-    fn log_word_age_to_relay(&self, now: Moment) -> Option<u32> {
-        let age = self.freshness.applied_log_word_age(now, self.applied)?;
+    /// Age in milliseconds of the log end report to relay; `None` if it is older than the bound,
+    /// as no receiver could use it.
+    fn relayable_log_end_age(&self, now: Moment) -> Option<u32> {
+        let age = self.freshness.applied_log_end_age(now, self.applied)?;
         if age > self.settings.freshness_bound {
             return None;
         }
         u32::try_from(age.as_millis()).ok()
     }
 
-    /// Random peers, without repetition.
+    /// Chooses up to `count` distinct random peers.
     pub(crate) fn random_peers(&mut self, count: usize, except: Option<NodeId>) -> Vec<Peer> {
         let mut peers = self.roster.peers();
         peers.retain(|peer| Some(peer.id) != except);
@@ -254,61 +258,61 @@
             .collect()
     }
 
-    /// Bytes of news that fit into one datagram.
-    pub(crate) fn update_room(&self) -> usize {
+    /// Maximum bytes of updates in one datagram.
+    pub(crate) fn max_update_bytes(&self) -> usize {
         self.settings.max_packet_bytes - PACKET_HEADER_BYTES
     }
 
-    /// News for a recipient: what is urgent for it, and queued news as far as the packet and the
-    /// budget allow. Queued news would be wasted on a suspect.
+    /// Selects the updates for a recipient: its urgent updates, and queued updates as far as the
+    /// packet and the budget allow. A suspect gets no queued updates, as it may not be running.
     fn select_updates(&mut self, recipient: NodeId) -> Vec<MemberUpdate> {
         let urgent = self.urgent_updates(recipient);
-        let mut room = self.update_room();
-        let fitting = self.fitting_updates(urgent.iter().copied(), &mut room);
-        let mut selected = self.count_sent(fitting);
+        let mut bytes_left = self.max_update_bytes();
+        let fitting = self.fitting_updates(urgent.iter().copied(), &mut bytes_left);
+        let mut selected = self.record_sent_updates(fitting);
         let is_suspect = self.roster.state(recipient) == Some(MemberState::Suspect);
         if is_suspect || self.updates.is_empty() {
             return selected;
         }
-        room = room.min(self.budget.available());
+        bytes_left = bytes_left.min(self.budget.available());
         let queued = self
             .updates
             .in_order()
             .filter(|id| *id != recipient && !urgent.contains(id));
-        let fitting = self.fitting_updates(queued, &mut room);
-        selected.extend(self.count_sent(fitting));
+        let fitting = self.fitting_updates(queued, &mut bytes_left);
+        selected.extend(self.record_sent_updates(fitting));
         selected
     }
 
-    /// The news about members, in order, up to the first that does not fit, with their sizes.
+    /// Updates about members with their encoded sizes, in order, up to the first that does not fit.
     fn fitting_updates(
         &self,
         members: impl Iterator<Item = NodeId>,
-        room: &mut usize,
+        bytes_left: &mut usize,
     ) -> Vec<(MemberUpdate, usize)> {
         let mut fitting = Vec::new();
         for update in members.filter_map(|id| self.roster.update_about(id)) {
             let bytes = encoded_bytes(&update);
-            if bytes > *room {
+            if bytes > *bytes_left {
                 break;
             }
-            *room -= bytes;
+            *bytes_left -= bytes;
             fitting.push((update, bytes));
         }
         fitting
     }
 
-    fn count_sent(&mut self, updates: Vec<(MemberUpdate, usize)>) -> Vec<MemberUpdate> {
+    fn record_sent_updates(&mut self, updates: Vec<(MemberUpdate, usize)>) -> Vec<MemberUpdate> {
         let limit = self.transmission_limit();
         for (update, bytes) in &updates {
             self.budget.spend(*bytes);
-            self.updates.sent(update.identity.id, limit);
+            self.updates.record_sent(update.identity.id, limit);
         }
         updates.into_iter().map(|(update, _)| update).collect()
     }
 
-    /// What a recipient must hear first is any suspicion against itself, so that it can refute; a
-    /// leaving sender repeats its own state, since no probe would reveal it.
+    /// Members whose updates a recipient gets first: itself if it is suspected, so that it can
+    /// refute; and this node if it is leaving, since no probe would reveal that state.
     fn urgent_updates(&self, recipient: NodeId) -> Vec<NodeId> {
         let mut urgent = Vec::new();
         if self.roster.state(recipient) == Some(MemberState::Suspect) {
@@ -327,7 +331,7 @@
     }
 }
 
-/// Encoded size of one piece of news; news that cannot be encoded never fits.
+/// Encoded size of an update; `usize::MAX` if it cannot be encoded, so that it never fits.
 pub(crate) fn encoded_bytes(update: &MemberUpdate) -> usize {
     codec::encode(update).map_or(usize::MAX, |bytes| bytes.len())
 }
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -1,4 +1,4 @@
-//! What goes into the membership state machine and what comes out.
+//! Inputs and actions of the membership state machine.
 
 use std::net::SocketAddr;
 
@@ -9,7 +9,7 @@
 /// An event for [`Membership::handle`](crate::Membership::handle).
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MembershipInput {
-    /// The moment named by [`Membership::next_tick`](crate::Membership::next_tick) has come.
+    /// The time returned by [`Membership::next_tick`](crate::Membership::next_tick) has come.
     Tick,
     /// A datagram arrived.
     Packet {
@@ -21,23 +21,23 @@
     /// Peer addresses from the settings or the machine list; replaces the earlier ones.
     Seeds(Vec<SocketAddr>),
     /// This node has applied the configuration up to this offset. Applied offsets and log ends
-    /// must count alike, so that "applied equals end" means that nothing is missing.
+    /// use the same numbering, so that "applied equals end" means that no record is missing.
     ConfigApplied(LogOffset),
-    /// The log service named the end of the configuration stream.
-    LogWord {
-        /// When the log was asked.
+    /// The log service returned the end of the configuration stream.
+    LogEndReport {
+        /// When the request was sent to the log.
         asked_at: Moment,
-        /// The end it named.
+        /// Offset of the end of the stream.
         end: LogOffset,
     },
-    /// An operator waits until every member has applied this offset: ask those that have not
+    /// An operator waits until every member has applied this offset: ping those that have not
     /// reported it, at most once a second each.
     AwaitConfig(LogOffset),
-    /// This node stops as planned: it gives up its roles but goes on answering.
+    /// This node shuts down as planned: it gives up its roles but continues to answer.
     Leave,
 }
 
-/// What the caller of [`Membership::handle`](crate::Membership::handle) has to do.
+/// An action that the caller of [`Membership::handle`](crate::Membership::handle) must perform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MembershipAction {
     /// Send a datagram.
@@ -47,15 +47,15 @@
         /// The datagram.
         packet: GossipPacket,
     },
-    /// A member came, went or changed its state.
+    /// A member joined, died or changed its state.
     ViewChanged,
     /// A peer has applied configuration that this node lacks; ask it for the records. At most one
     /// in a probe interval.
     ConfigBehind {
-        /// The peer.
+        /// Peer to ask for the records.
         peer: NodeId,
     },
-    /// The others declared this node dead, which is final. The state machine does nothing more;
-    /// the process must start a new one with a new node id.
+    /// The other members declared this node dead, which is final. The state machine ignores all
+    /// further inputs; the process must create a new one with a new node id.
     DeclaredDead,
 }
--- a/crates/membership/src/probes.rs
+++ b/crates/membership/src/probes.rs
@@ -1,4 +1,4 @@
-//! Questions sent and not yet answered, and the order in which members are probed.
+//! Requests without an answer yet, and the order in which members are probed.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,120 +9,121 @@
 use rand::Rng;
 use rand::seq::SliceRandom;
 
-/// Why a question was asked.
+/// Why a request was sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Purpose {
-    /// To detect a failure of the member.
+    /// A direct ping to detect a failure of the member.
     Probe {
-        /// Whether other members were asked already to repeat it.
+        /// Whether other members were already asked to repeat the probe.
         repeated: bool,
     },
-    /// To hear the member's configuration offset.
-    Hear,
-    /// To answer another member that asked for it.
+    /// A ping to get the member's state and configuration offset; no answer makes no suspect.
+    Poll,
+    /// A ping on behalf of another member, which gets the answer.
     Relay {
-        /// The asker's address.
-        asker: SocketAddr,
-        /// The asker's number.
+        /// Address of the requesting member.
+        requester: SocketAddr,
+        /// Sequence number of the requesting member's request.
         sequence: u64,
     },
-    /// Another member was asked to probe the target.
+    /// A request to another member to probe the target.
     Indirect {
-        /// Number of the probe that this repeats.
+        /// Sequence number of the direct probe that this repeats.
         probe: u64,
     },
 }
 
-/// A question sent and not yet answered.
+/// A request without an answer yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Question {
+pub(crate) struct PendingRequest {
     pub(crate) target: NodeId,
     pub(crate) sent_at: Moment,
     pub(crate) purpose: Purpose,
 }
 
-/// All questions sent and not yet answered.
+/// All requests without an answer yet, by sequence number.
 #[derive(Debug, Clone)]
-pub(crate) struct Questions {
+pub(crate) struct PendingRequests {
     next_sequence: u64,
-    open: BTreeMap<u64, Question>,
+    by_sequence: BTreeMap<u64, PendingRequest>,
 }
 
-impl Questions {
-    /// Numbers start at a random place, so that a late answer to an earlier process at the same
-    /// address is not taken for an answer to this one.
+impl PendingRequests {
+    /// Sequence numbers start at a random value, so that a late answer to an earlier process at the
+    /// same address is not matched to a request of this process.
     pub(crate) fn new(rng: &mut impl Rng) -> Self {
         Self {
             next_sequence: u64::from(rng.random::<u32>()),
-            open: BTreeMap::new(),
+            by_sequence: BTreeMap::new(),
         }
     }
 
-    /// Notes a question and returns its number.
-    pub(crate) fn ask(&mut self, now: Moment, target: NodeId, purpose: Purpose) -> u64 {
+    /// Adds a request and returns its sequence number.
+    pub(crate) fn add(&mut self, now: Moment, target: NodeId, purpose: Purpose) -> u64 {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
-        let question = Question {
+        let request = PendingRequest {
             target,
             sent_at: now,
             purpose,
         };
-        self.open.insert(sequence, question);
+        self.by_sequence.insert(sequence, request);
         sequence
     }
 
-    /// Takes the question that an answer belongs to.
-    pub(crate) fn answer(&mut self, sequence: u64) -> Option<Question> {
-        self.open.remove(&sequence)
+    /// Removes and returns the request that an answer belongs to.
+    pub(crate) fn take(&mut self, sequence: u64) -> Option<PendingRequest> {
+        self.by_sequence.remove(&sequence)
     }
 
-    /// Probes without an answer after `timeout` that other members have not been asked to repeat;
-    /// they count as repeated from now on.
+    /// Returns the probes without an answer after `timeout` that other members have not been asked
+    /// to repeat, and marks them as repeated.
     pub(crate) fn take_probes_to_repeat(
         &mut self,
         now: Moment,
         timeout: Duration,
     ) -> Vec<(u64, NodeId)> {
         let mut due = Vec::new();
-        for (sequence, question) in &mut self.open {
-            let is_new = question.purpose == Purpose::Probe { repeated: false };
-            if is_new && now.since(question.sent_at) >= timeout {
-                question.purpose = Purpose::Probe { repeated: true };
-                due.push((*sequence, question.target));
+        for (sequence, request) in &mut self.by_sequence {
+            let is_new = request.purpose == Purpose::Probe { repeated: false };
+            if is_new && now.since(request.sent_at) >= timeout {
+                request.purpose = Purpose::Probe { repeated: true };
+                due.push((*sequence, request.target));
             }
         }
         due
     }
 
-    /// Drops questions without an answer after `timeout`; returns the targets of probes.
-    pub(crate) fn take_failed(&mut self, now: Moment, timeout: Duration) -> Vec<NodeId> {
+    /// Removes requests without an answer after `timeout`; returns the targets of direct probes.
+    pub(crate) fn take_expired(&mut self, now: Moment, timeout: Duration) -> Vec<NodeId> {
         let mut failed = Vec::new();
-        self.open.retain(|_, question| {
-            if now.since(question.sent_at) < timeout {
+        self.by_sequence.retain(|_, request| {
+            if now.since(request.sent_at) < timeout {
                 return true;
             }
-            if matches!(question.purpose, Purpose::Probe { .. }) {
-                failed.push(question.target);
+            if matches!(request.purpose, Purpose::Probe { .. }) {
+                failed.push(request.target);
             }
             false
         });
         failed
     }
 
-    /// Drops all questions: this process did not run, so silence proves nothing.
+    /// Removes all requests. After a suspension of this process, a missing answer is no evidence of
+    /// a failure.
     pub(crate) fn clear(&mut self) {
-        self.open.clear();
+        self.by_sequence.clear();
     }
 }
 
-/// Goes round the members in a random order, newly shuffled each round.
+/// Iterates over the members in random order, reshuffled in each round.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct ProbeOrder {
     remaining: Vec<NodeId>,
 }
 
 impl ProbeOrder {
-    /// The next member; `members` gives the members for a new round.
+    /// Returns the next member; `members` returns the members for a new round.
     pub(crate) fn next(
         &mut self,
         rng: &mut impl Rng,
--- a/crates/membership/src/roster.rs
+++ b/crates/membership/src/roster.rs
@@ -1,4 +1,4 @@
-//! What one node believes about each member, and which news beats which.
+//! The state of each member as this node sees it, and the precedence of updates.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,30 +9,33 @@
 use havenstage_types::ids::{LogOffset, NodeId};
 use havenstage_types::member::{Member, MemberIdentity, MemberState, MembershipView};
 
-/// Before its death a suspect is asked this many times more: it may have refuted, and the word may
-/// have missed us.
-const LAST_CHANCES: u32 = 2;
+/// Pings sent to a suspect before it is declared dead: its refutation may not have reached this
+/// node.
+const FINAL_PINGS: u32 = 2;
 
-/// Time between two last chances, and between the last one and the death.
-const LAST_CHANCE_INTERVAL: Duration = Duration::from_millis(800);
+/// Time between two final pings, and between the last one and the declaration of death.
+const FINAL_PING_INTERVAL: Duration = Duration::from_millis(800);
 
-/// Timer of a member that is not simply alive.
+/// Timer of a suspected, unanswering or dead member.
 #[derive(Debug, Clone, Copy)]
 enum Timer {
-    /// Declared dead at a moment unless it refutes.
-    Dying { dead_at: Moment, chances_left: u32 },
-    /// Dead since a moment.
+    /// The member is declared dead at `expires_at` unless it refutes.
+    Suspicion {
+        expires_at: Moment,
+        final_pings_left: u32,
+    },
+    /// The member has been dead since this time.
     Dead { since: Moment },
 }
 
-/// A running member to send to.
+/// Id and address of a running member other than this node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Peer {
     pub(crate) id: NodeId,
     pub(crate) address: SocketAddr,
 }
 
-/// The members as this node sees them.
+/// The members as this node sees them, with the timers that change their states.
 #[derive(Debug, Clone)]
 pub(crate) struct Roster {
     self_id: NodeId,
@@ -43,7 +46,7 @@
 }
 
 impl Roster {
-    /// A roster that holds only this node.
+    /// Creates a roster that contains only this node.
     pub(crate) fn new(identity: MemberIdentity, suspicion_timeout: Duration) -> Self {
         let self_id = identity.id;
         let mut roster = Self {
@@ -82,7 +85,7 @@
         self.running_count
     }
 
-    /// All running members but this node.
+    /// All running members except this node.
     pub(crate) fn peers(&self) -> Vec<Peer> {
         self.view
             .running()
@@ -91,7 +94,7 @@
             .collect()
     }
 
-    /// The address of a running member.
+    /// The id and address of a member; `None` if it is dead or unknown.
     pub(crate) fn running_peer(&self, id: NodeId) -> Option<Peer> {
         let member = self.member(id)?;
         (member.state != MemberState::Dead).then(|| peer_of(member))
@@ -129,7 +132,7 @@
             .map(peer_of)
     }
 
-    /// What this node would tell others about a member.
+    /// The update that this node sends to others about a member.
     pub(crate) fn update_about(&self, id: NodeId) -> Option<MemberUpdate> {
         let member = self.member(id)?;
         Some(MemberUpdate {
@@ -140,14 +143,15 @@
         })
     }
 
-    /// Whether this node believes exactly what the news says.
-    pub(crate) fn knows(&self, update: &MemberUpdate) -> bool {
+    /// Whether an update has the state and incarnation that this node already has.
+    pub(crate) fn agrees_with(&self, update: &MemberUpdate) -> bool {
         self.member(update.identity.id).is_some_and(|member| {
             member.state == update.state && member.incarnation == update.incarnation
         })
     }
 
-    /// Takes news about another member; returns whether it was news.
+    /// Applies an update about another member; returns whether the member is new or its state or
+    /// incarnation changed.
     pub(crate) fn apply(&mut self, now: Moment, update: &MemberUpdate) -> bool {
         let id = update.identity.id;
         let Some(member) = self.view.members.get_mut(&id) else {
@@ -168,10 +172,11 @@
         true
     }
 
-    /// A member failed a probe of ours; returns whether its state changed. A leaving member keeps
-    /// its state, so that it does not get its roles back, but its time runs all the same.
+    /// Marks a member that failed a probe as suspect and starts its timer; returns whether its state
+    /// changed. A leaving member keeps its state, so that it does not get its roles back, but its
+    /// timer starts too.
     pub(crate) fn suspect(&mut self, now: Moment, id: NodeId) -> bool {
-        let timer = self.dying_from(now);
+        let timer = self.suspicion_timer(now);
         let Some(member) = self.view.members.get_mut(&id) else {
             return false;
         };
@@ -186,29 +191,29 @@
         was_alive
     }
 
-    /// A member answered what we asked at `asked_at`, so it ran then. A suspect still has to refute
-    /// by a higher incarnation, but it gets its full time again. A leaving member's timer is only
-    /// ours and ends.
-    pub(crate) fn answered(&mut self, asked_at: Moment, id: NodeId) {
+    /// Records that a member answered a request sent at `asked_at`, so it was running then. A suspect
+    /// still has to refute by a higher incarnation, but its timer restarts. The timer of a leaving
+    /// member is known to this node only and is removed.
+    pub(crate) fn record_answer(&mut self, asked_at: Moment, id: NodeId) {
         match self.state(id) {
             Some(MemberState::Leaving) => {
                 self.timers.remove(&id);
             }
             Some(MemberState::Suspect) => {
-                self.timers.insert(id, self.dying_from(asked_at));
+                self.timers.insert(id, self.suspicion_timer(asked_at));
             }
             _ => {}
         }
     }
 
-    fn dying_from(&self, moment: Moment) -> Timer {
-        Timer::Dying {
-            dead_at: moment + self.suspicion_timeout,
-            chances_left: LAST_CHANCES,
+    fn suspicion_timer(&self, moment: Moment) -> Timer {
+        Timer::Suspicion {
+            expires_at: moment + self.suspicion_timeout,
+            final_pings_left: FINAL_PINGS,
         }
     }
 
-    /// A member is certainly gone; returns whether that is news.
+    /// Declares a member dead; returns whether its state changed.
     pub(crate) fn declare_dead(&mut self, now: Moment, id: NodeId) -> bool {
         let Some(member) = self.view.members.get_mut(&id) else {
             return false;
@@ -222,46 +227,47 @@
         true
     }
 
-    /// Suspects whose time is over.
-    pub(crate) fn overdue_suspects(&self, now: Moment) -> Vec<NodeId> {
-        let is_overdue =
-            |timer: &Timer| matches!(timer, Timer::Dying { dead_at, .. } if *dead_at <= now);
+    /// Members whose suspicion timer has expired.
+    pub(crate) fn expired_suspects(&self, now: Moment) -> Vec<NodeId> {
+        let is_expired = |timer: &Timer| matches!(timer, Timer::Suspicion { expires_at, .. } if *expires_at <= now);
         self.timers
             .iter()
-            .filter(|(_, timer)| is_overdue(timer))
+            .filter(|(_, timer)| is_expired(timer))
             .map(|(id, _)| *id)
             .collect()
     }
 
-    /// Suspects whose time is nearly over and that are to be asked again now.
-    pub(crate) fn take_last_chances(&mut self, now: Moment) -> Vec<NodeId> {
-        let mut chances = Vec::new();
+    /// Returns the members whose suspicion timer expires soon and for which a final ping is due.
+    pub(crate) fn take_final_pings(&mut self, now: Moment) -> Vec<NodeId> {
+        let mut due = Vec::new();
         for (id, timer) in &mut self.timers {
-            let Timer::Dying {
-                dead_at,
-                chances_left,
+            let Timer::Suspicion {
+                expires_at,
+                final_pings_left,
             } = timer
             else {
                 continue;
             };
-            if *chances_left > 0 && *dead_at <= now + LAST_CHANCE_INTERVAL * *chances_left {
-                *chances_left -= 1;
-                chances.push(*id);
+            if *final_pings_left > 0 && *expires_at <= now + FINAL_PING_INTERVAL * *final_pings_left
+            {
+                *final_pings_left -= 1;
+                due.push(*id);
             }
         }
-        chances
+        due
     }
 
-    /// This process did not run for a while, so suspects could not refute: give them the time.
-    pub(crate) fn extend_suspicions(&mut self, stall: Duration) {
+    /// Extends all suspicion timers by the time for which this process was suspended and could not
+    /// receive refutations.
+    pub(crate) fn extend_suspicions(&mut self, suspension: Duration) {
         for timer in self.timers.values_mut() {
-            if let Timer::Dying { dead_at, .. } = timer {
-                *dead_at = *dead_at + stall;
+            if let Timer::Suspicion { expires_at, .. } = timer {
+                *expires_at = *expires_at + suspension;
             }
         }
     }
 
-    /// Forgets members that have been dead for longer than `retention`; returns them.
+    /// Removes members that have been dead for longer than `retention`; returns them.
     pub(crate) fn forget_dead(&mut self, now: Moment, retention: Duration) -> Vec<NodeId> {
         let is_forgotten =
             |timer: &Timer| matches!(timer, Timer::Dead { since } if now.since(*since) > retention);
@@ -278,14 +284,14 @@
         forgotten
     }
 
-    /// A member reported its applied configuration offset.
-    pub(crate) fn note_config_offset(&mut self, id: NodeId, offset: LogOffset) {
+    /// Records the configuration offset that a member reported as applied.
+    pub(crate) fn record_config_offset(&mut self, id: NodeId, offset: LogOffset) {
         if let Some(member) = self.view.members.get_mut(&id) {
             member.config_offset = member.config_offset.max(offset);
         }
     }
 
-    /// Raises this node's own incarnation above a claim about it.
+    /// Raises this node's incarnation above the one in a suspicion of it.
     pub(crate) fn refute(&mut self, claimed_incarnation: u64) {
         if let Some(member) = self.view.members.get_mut(&self.self_id) {
             member.incarnation = member.incarnation.max(claimed_incarnation) + 1;
@@ -315,7 +321,7 @@
 
     fn restart_timer(&mut self, now: Moment, id: NodeId) {
         let timer = match self.state(id) {
-            Some(MemberState::Suspect) => self.dying_from(now),
+            Some(MemberState::Suspect) => self.suspicion_timer(now),
             Some(MemberState::Dead) => Timer::Dead { since: now },
             _ => {
                 self.timers.remove(&id);
@@ -326,8 +332,8 @@
     }
 }
 
-/// Whether news beats what is believed: dead is final, leaving is never taken back, and otherwise
-/// the higher incarnation wins, then the worse state.
+/// Whether an update replaces a member's current state: dead is final, leaving is never reverted,
+/// and otherwise the higher incarnation wins, then the later state in the order of `MemberState`.
 fn supersedes(member: &Member, update: &MemberUpdate) -> bool {
     if member.state == MemberState::Dead {
         return false;
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -4,18 +4,19 @@
 
 use thiserror::Error;
 
-/// Smallest packet limit that holds any one update next to the packet's own fields.
-const SMALLEST_PACKET_BYTES: usize = 512;
+/// Minimum packet limit: fits any single update and the packet's other fields.
+const MIN_PACKET_BYTES: usize = 512;
 
-/// Largest UDP payload.
-const LARGEST_PACKET_BYTES: usize = 65_507;
+/// Maximum UDP payload over IPv4.
+const MAX_PACKET_BYTES: usize = 65_507;
 
-/// Settings of the membership protocol; the same on all members.
+/// Settings of the membership protocol, which must be equal on all members.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MembershipSettings {
     /// Time between two ticks; the granularity of all other times.
     pub tick_interval: Duration,
-    /// Time between two probes, and the time after which an unanswered probe makes a suspect.
+    /// Time between two probes, and the time after which the target of an unanswered probe becomes
+    /// a suspect.
     pub probe_interval: Duration,
     /// Time after which an unanswered direct probe is repeated through other members.
     pub probe_timeout: Duration,
@@ -23,21 +24,23 @@
     pub indirect_probes: usize,
     /// Time a suspect has to refute before it is declared dead.
     pub suspicion_timeout: Duration,
-    /// Time a dead member is remembered, so that old news cannot bring it back.
+    /// Time for which a dead member is remembered, so that old updates cannot mark it as running.
     pub dead_retention: Duration,
-    /// Time between two pings to members held dead or to silent seeds.
+    /// Time between two join requests to addresses of dead members or of seeds at which no running
+    /// member is known.
     pub reconnect_interval: Duration,
     /// Largest encoded datagram, in bytes.
     pub max_packet_bytes: usize,
-    /// Members that get pending news at each tick.
+    /// Number of random members that get pending updates at each tick.
     pub gossip_fanout: usize,
-    /// A piece of news is sent this many times the natural logarithm of the member count.
+    /// An update is sent this many times the natural logarithm (rounded up) of the number of running
+    /// members plus one.
     pub retransmit_factor: u32,
-    /// Bytes of news a member may send per second in the long run.
+    /// Bytes of updates that a member may send per second on average.
     pub update_bytes_per_second: u32,
-    /// Bytes of news a member may send at once after a quiet time.
+    /// Bytes of updates that a member may send at once after an idle period.
     pub update_burst_bytes: u32,
-    /// Age at which the knowledge of the configuration is stale.
+    /// Maximum age of the evidence that the configuration is up to date.
     pub freshness_bound: Duration,
 }
 
@@ -67,29 +70,33 @@
     /// A time or a count that must be positive is zero.
     #[error("{field} must not be zero")]
     Zero {
-        /// The field.
+        /// Name of the setting that is zero.
         field: &'static str,
     },
     /// One time must be shorter than another.
     #[error("{shorter} must be shorter than {longer}")]
     Order {
-        /// The field that must be the shorter one.
+        /// Name of the setting that must be the shorter one.
         shorter: &'static str,
-        /// The field that must be the longer one.
+        /// Name of the setting that must be the longer one.
         longer: &'static str,
     },
     /// The packet limit is out of range.
     #[error(
-        "max_packet_bytes must lie between {SMALLEST_PACKET_BYTES} and {LARGEST_PACKET_BYTES}, not {found}"
+        "max_packet_bytes must lie between {MIN_PACKET_BYTES} and {MAX_PACKET_BYTES}, not {found}"
     )]
     PacketBytes {
-        /// The limit given.
+        /// The configured limit, in bytes.
         found: usize,
     },
 }
 
 impl MembershipSettings {
-    /// Checks the settings against each other.
+    /// Checks that the settings are positive where required, in range and consistent.
+    ///
+    /// # Errors
+    ///
+    /// Returns the first violated rule.
     pub fn validate(&self) -> Result<(), InvalidMembershipSettings> {
         self.require_positive()?;
         require_order(
@@ -112,7 +119,7 @@
             ("probe_interval", self.probe_interval),
             ("freshness_bound", self.freshness_bound),
         )?;
-        let packet_range = SMALLEST_PACKET_BYTES..=LARGEST_PACKET_BYTES;
+        let packet_range = MIN_PACKET_BYTES..=MAX_PACKET_BYTES;
         if !packet_range.contains(&self.max_packet_bytes) {
             return Err(InvalidMembershipSettings::PacketBytes {
                 found: self.max_packet_bytes,
--- a/crates/membership/src/ticks.rs
+++ b/crates/membership/src/ticks.rs
@@ -1,4 +1,4 @@
-//! What the membership state machine does by itself as time passes.
+//! Periodic work of the membership state machine.
 
 use std::net::SocketAddr;
 
@@ -14,69 +14,71 @@
 use crate::probes::Purpose;
 use crate::roster::Peer;
 
-/// Full member lists a newcomer asks for after the first: gossip in flight while it joined may
-/// have missed it.
+/// Full member lists that a joining node requests after the first: it may have missed updates that
+/// were gossiped while it joined.
 const REPEATED_JOINS: u32 = 1;
 
-/// Time between a newcomer's first member list and the next.
+/// Time from a joining node's first member list to the next request.
 const REPEATED_JOIN_DELAY: Duration = Duration::from_secs(3);
 
-/// Time between two questions to a member that an operator waits for.
+/// Time between two pings to a member whose offset an operator waits for.
 const AWAIT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Members asked at most in one tick because an operator waits.
+/// Maximum number of members pinged in one tick because an operator waits.
 const AWAIT_PINGS_PER_TICK: usize = 16;
 
-/// Members pinged at once after this process was frozen, to learn soon what became of it.
-const WAKE_PINGS: usize = 3;
+/// Members pinged at once after a suspension, so that this process soon learns whether it was
+/// declared dead.
+const RESUME_PINGS: usize = 3;
 
-/// Parts of a ping in which the rate of pings is counted.
-const HEARING_PARTS: u64 = 1_000;
+/// Parts of a poll; polls per tick are counted in these parts, since fewer than one may be due.
+const PARTS_PER_POLL: u64 = 1_000;
 
 impl Membership {
     pub(crate) fn tick(&mut self, now: Moment) {
         self.schedule.next_tick = Some(now + self.settings.tick_interval);
         self.budget.refill(now);
-        self.freshness.forget_old(now);
+        self.freshness.discard_expired(now);
         self.forget_dead(now);
-        self.declare_overdue_dead(now);
-        self.give_last_chances(now);
+        self.declare_expired_suspects_dead(now);
+        self.send_final_pings(now);
         self.check_probes(now);
         self.start_probes(now);
-        self.hear_members(now);
-        self.ask_awaited(now);
+        self.poll_members(now);
+        self.ping_lagging_members(now);
         self.gossip_updates(now);
         self.join(now);
         self.reconnect(now);
     }
 
-    /// Whether a tick that is so late shows that the process was frozen.
-    pub(crate) fn is_stall(&self, late: Duration) -> bool {
+    /// Whether a tick that is late by this time shows that the process was suspended.
+    pub(crate) fn is_suspension(&self, late: Duration) -> bool {
         late > self.settings.probe_interval
     }
 
-    /// Silence while this process was frozen proves nothing about the others; but they may have
-    /// declared it dead, or even have forgotten that they did.
-    pub(crate) fn notice_stall(&mut self, now: Moment) {
+    /// Detects that this process was suspended. Missing answers during that time are no evidence
+    /// against other members, but those may have declared this node dead, and after
+    /// `dead_retention` even have removed its entry.
+    pub(crate) fn detect_suspension(&mut self, now: Moment) {
         let Some(due) = self.schedule.next_tick else {
             self.schedule.next_tick = Some(now);
             return;
         };
-        let stall = now.since(due);
-        if !self.is_stall(stall) {
+        let suspension = now.since(due);
+        if !self.is_suspension(suspension) {
             return;
         }
-        if stall >= self.settings.dead_retention {
-            self.become_dead();
+        if suspension >= self.settings.dead_retention {
+            self.accept_self_death();
             return;
         }
         self.schedule.next_tick = Some(now);
-        self.woken_at = Some(now);
-        self.freshness.forget_before(now);
-        self.questions.clear();
-        self.roster.extend_suspicions(stall);
-        for peer in self.random_peers(WAKE_PINGS, None) {
-            self.ping(now, peer, Purpose::Hear);
+        self.resumed_at = Some(now);
+        self.freshness.discard_before(now);
+        self.pending_requests.clear();
+        self.roster.extend_suspicions(suspension);
+        for peer in self.random_peers(RESUME_PINGS, None) {
+            self.ping(now, peer, Purpose::Poll);
         }
     }
 
@@ -87,15 +89,15 @@
         self.join(now);
     }
 
-    /// Sends pending news to a few random members.
+    /// Sends pending updates to a few random members.
     pub(crate) fn gossip_updates(&mut self, now: Moment) {
-        for peer in self.random_peers_with_news() {
+        for peer in self.choose_gossip_targets() {
             self.send(now, peer, GossipBody::Updates);
         }
     }
 
-    fn random_peers_with_news(&mut self) -> Vec<Peer> {
-        if self.updates.is_empty() || self.budget.available() < self.update_room() {
+    fn choose_gossip_targets(&mut self) -> Vec<Peer> {
+        if self.updates.is_empty() || self.budget.available() < self.max_update_bytes() {
             return Vec::new();
         }
         self.random_peers(self.settings.gossip_fanout, None)
@@ -105,51 +107,52 @@
         let retention = self.settings.dead_retention;
         for id in self.roster.forget_dead(now, retention) {
             self.updates.remove(id);
-            self.last_asked.remove(&id);
+            self.last_pinged.remove(&id);
         }
     }
 
-    fn declare_overdue_dead(&mut self, now: Moment) {
-        for id in self.roster.overdue_suspects(now) {
+    fn declare_expired_suspects_dead(&mut self, now: Moment) {
+        for id in self.roster.expired_suspects(now) {
             if self.roster.declare_dead(now, id) {
-                self.note_change(id);
+                self.record_change(id);
             }
         }
     }
 
-    /// The ping carries the suspicion, and a member that has refuted it answers with its state.
-    fn give_last_chances(&mut self, now: Moment) {
-        for id in self.roster.take_last_chances(now) {
+    /// Pings suspects whose timers expire soon. The ping contains the suspicion, and a member that
+    /// has refuted it answers with its state.
+    fn send_final_pings(&mut self, now: Moment) {
+        for id in self.roster.take_final_pings(now) {
             if let Some(peer) = self.roster.running_peer(id) {
-                self.ping(now, peer, Purpose::Hear);
+                self.ping(now, peer, Purpose::Poll);
             }
         }
     }
 
     fn check_probes(&mut self, now: Moment) {
         let timeout = self.settings.probe_timeout;
-        for (probe, target) in self.questions.take_probes_to_repeat(now, timeout) {
-            self.repeat_probe(now, probe, target);
+        for (probe, target) in self.pending_requests.take_probes_to_repeat(now, timeout) {
+            self.probe_indirectly(now, probe, target);
         }
         let interval = self.settings.probe_interval;
-        for target in self.questions.take_failed(now, interval) {
+        for target in self.pending_requests.take_expired(now, interval) {
             if self.roster.suspect(now, target) {
-                self.note_change(target);
+                self.record_change(target);
             }
         }
     }
 
-    fn repeat_probe(&mut self, now: Moment, probe: u64, target: NodeId) {
+    fn probe_indirectly(&mut self, now: Moment, probe: u64, target: NodeId) {
         let helpers = self.random_peers(self.settings.indirect_probes, Some(target));
         for helper in helpers {
             let purpose = Purpose::Indirect { probe };
-            let sequence = self.questions.ask(now, target, purpose);
+            let sequence = self.pending_requests.add(now, target, purpose);
             self.send(now, helper, GossipBody::PingRequest { sequence, target });
         }
     }
 
-    /// Probes the next member in random order, and the next one in the ring of ids: so each
-    /// member is probed by some other at least once in a probe interval.
+    /// Probes the next member in random order, and the next one in the ring of ids, so that each
+    /// member is probed by another one at least once per probe interval.
     fn start_probes(&mut self, now: Moment) {
         if now < self.schedule.next_probe {
             return;
@@ -169,64 +172,63 @@
         }
     }
 
-    /// While the log has been silent for a third of the bound, pings so many members that a
-    /// majority is heard within the bound.
-    fn hear_members(&mut self, now: Moment) {
+    /// If the latest report of the log's end is older than a third of the freshness bound, pings
+    /// enough members that a majority answers within the bound.
+    fn poll_members(&mut self, now: Moment) {
         let bound = self.settings.freshness_bound;
-        let word_age = self.freshness.log_word_age(now);
-        if word_age.is_some_and(|age| age <= bound / 3) {
-            self.schedule.hearing_owed = 0;
+        let log_end_age = self.freshness.log_end_age(now);
+        if log_end_age.is_some_and(|age| age <= bound / 3) {
+            self.schedule.due_poll_parts = 0;
             return;
         }
-        self.schedule.hearing_owed += self.hearing_parts_per_tick();
-        while self.schedule.hearing_owed >= HEARING_PARTS {
-            self.schedule.hearing_owed -= HEARING_PARTS;
-            self.hear_next_member(now);
+        self.schedule.due_poll_parts += self.poll_parts_per_tick();
+        while self.schedule.due_poll_parts >= PARTS_PER_POLL {
+            self.schedule.due_poll_parts -= PARTS_PER_POLL;
+            self.poll_next_member(now);
         }
     }
 
-    /// Three quarters of all members known, dead ones included, or all that run if these are
-    /// fewer, are pinged in three quarters of the bound.
-    fn hearing_parts_per_tick(&self) -> u64 {
+    /// Parts of a poll due per tick, such that three quarters of all known members, including dead
+    /// ones, or all running ones if these are fewer, are pinged in three quarters of the bound.
+    fn poll_parts_per_tick(&self) -> u64 {
         let known = self.roster.view().members.len();
         let running = self.roster.running_count().saturating_sub(1);
         let targets = running.min(known * 3 / 4 + 1) as u64;
         let window = self.settings.freshness_bound.as_millis() as u64 * 3 / 4;
         let tick = self.settings.tick_interval.as_millis() as u64;
-        targets * tick * HEARING_PARTS / window.max(1)
+        targets * tick * PARTS_PER_POLL / window.max(1)
     }
 
-    /// Pings the next member in random order that is likely to answer and was not asked of late.
-    fn hear_next_member(&mut self, now: Moment) {
+    /// Pings the next member in random order that is not suspected and was not pinged within half
+    /// the freshness bound.
+    fn poll_next_member(&mut self, now: Moment) {
         for _ in 0..self.roster.running_count() {
             let roster = &self.roster;
-            let next = self
-                .hearing_order
-                .next(&mut self.rng, || ids(&roster.peers()));
-            let peer = next.and_then(|id| self.peer_worth_hearing(now, id));
+            let next = self.poll_order.next(&mut self.rng, || ids(&roster.peers()));
+            let peer = next.and_then(|id| self.peer_to_poll(now, id));
             if let Some(peer) = peer {
-                self.ping(now, peer, Purpose::Hear);
+                self.ping(now, peer, Purpose::Poll);
                 return;
             }
         }
     }
 
-    fn peer_worth_hearing(&self, now: Moment, id: NodeId) -> Option<Peer> {
+    fn peer_to_poll(&self, now: Moment, id: NodeId) -> Option<Peer> {
         let is_suspect = self.roster.state(id) == Some(MemberState::Suspect);
         let interval = self.settings.freshness_bound / 2;
-        if is_suspect || self.was_asked_within(now, id, interval) {
+        if is_suspect || self.was_pinged_within(now, id, interval) {
             return None;
         }
         self.roster.running_peer(id)
     }
 
-    fn was_asked_within(&self, now: Moment, id: NodeId, interval: Duration) -> bool {
-        let last_asked = self.last_asked.get(&id);
-        last_asked.is_some_and(|asked_at| now.since(*asked_at) < interval)
+    fn was_pinged_within(&self, now: Moment, id: NodeId, interval: Duration) -> bool {
+        let last_pinged = self.last_pinged.get(&id);
+        last_pinged.is_some_and(|pinged_at| now.since(*pinged_at) < interval)
     }
 
-    fn ask_awaited(&mut self, now: Moment) {
-        let Some(offset) = self.awaited else {
+    fn ping_lagging_members(&mut self, now: Moment) {
+        let Some(offset) = self.awaited_offset else {
             return;
         };
         let lagging: Vec<NodeId> = self
@@ -238,20 +240,21 @@
             .filter(|id| *id != self.self_id)
             .collect();
         if lagging.is_empty() {
-            self.awaited = None;
+            self.awaited_offset = None;
         }
         let due: Vec<Peer> = lagging
             .into_iter()
-            .filter(|id| !self.was_asked_within(now, *id, AWAIT_INTERVAL))
+            .filter(|id| !self.was_pinged_within(now, *id, AWAIT_INTERVAL))
             .filter_map(|id| self.roster.running_peer(id))
             .take(AWAIT_PINGS_PER_TICK)
             .collect();
         for peer in due {
-            self.ping(now, peer, Purpose::Hear);
+            self.ping(now, peer, Purpose::Poll);
         }
     }
 
-    /// Asks a seed for the members until one has answered, and then a member once more.
+    /// Requests the member list from seeds until another member is known, and then once more from a
+    /// member.
     fn join(&mut self, now: Moment) {
         if now < self.schedule.next_join {
             return;
@@ -261,35 +264,36 @@
             self.schedule.joins_left = REPEATED_JOINS;
             self.schedule.next_join = now + self.settings.probe_interval;
             let seed = self.seeds.choose(&mut self.rng).copied();
-            self.ask_member_list(now, seed);
+            self.request_member_list(now, seed);
             return;
         };
         self.schedule.next_join = now + REPEATED_JOIN_DELAY;
         if self.schedule.joins_left > 0 {
             self.schedule.joins_left -= 1;
-            self.ask_member_list(now, Some(peer.address));
+            self.request_member_list(now, Some(peer.address));
         }
     }
 
-    /// Tries one address where a member was, or should be, in case a cut has healed.
+    /// Sends a join request to one address of a dead member, or of a seed at which no running member
+    /// is known, in case a network partition has ended.
     fn reconnect(&mut self, now: Moment) {
         if now < self.schedule.next_reconnect {
             return;
         }
         self.schedule.next_reconnect = now + self.settings.reconnect_interval;
-        let mut silent: Vec<SocketAddr> = self.roster.dead_addresses();
+        let mut addresses: Vec<SocketAddr> = self.roster.dead_addresses();
         let roster = &self.roster;
         let unknown_seeds = self
             .seeds
             .iter()
             .filter(|seed| !roster.is_running_at(**seed));
-        silent.extend(unknown_seeds);
-        let address = silent.choose(&mut self.rng).copied();
+        addresses.extend(unknown_seeds);
+        let address = addresses.choose(&mut self.rng).copied();
         self.send_join(now, address);
     }
 
-    fn ask_member_list(&mut self, now: Moment, from: Option<SocketAddr>) {
-        self.member_list_asked = from.map(|address| (address, now));
+    fn request_member_list(&mut self, now: Moment, from: Option<SocketAddr>) {
+        self.member_list_request = from.map(|address| (address, now));
         self.send_join(now, from);
     }
 
--- a/crates/membership/src/update_queue.rs
+++ b/crates/membership/src/update_queue.rs
@@ -1,26 +1,27 @@
-//! News about members waiting to be sent, each a bounded number of times.
+//! Queue of members with updates to gossip, each a limited number of times.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use havenstage_types::ids::NodeId;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Members with news, and how often that news has been sent. The news itself is read from the
-/// roster when it is sent, so a newer state replaces an older one.
+/// Members with pending updates, and how often each update has been sent. The update itself is read
+/// from the roster when it is sent, so a newer state replaces an older one.
 #[derive(Debug, Clone)]
 pub(crate) struct UpdateQueue {
     transmissions: BTreeMap<NodeId, u32>,
     /// The same members, the least often sent first.
     order: BTreeSet<OrderKey>,
-    /// Makes each node send in another order, so that together they spread all news at once.
+    /// Differs between nodes, so that they send in different orders and together spread all updates
+    /// at the same time.
     order_seed: u64,
 }
 
-/// Place of a member in the order: how often its news was sent, and a hash that decides ties.
+/// Sort key of a member: how often its update was sent, and a hash that breaks ties.
 type OrderKey = (u32, u64, NodeId);
 
 impl UpdateQueue {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub(crate) fn new(order_seed: u64) -> Self {
         Self {
             transmissions: BTreeMap::new(),
@@ -29,25 +30,25 @@
         }
     }
 
-    /// There is news about a member; it is sent the full number of times again.
+    /// Adds an update about a member, to be sent the full number of times again.
     pub(crate) fn add(&mut self, member: NodeId) {
         self.remove(member);
         self.insert(member, 0);
     }
 
-    /// Whether nothing waits.
+    /// Whether no update is pending.
     pub(crate) fn is_empty(&self) -> bool {
         self.transmissions.is_empty()
     }
 
-    /// Members with news, the least often sent first.
+    /// Members with pending updates, the least often sent first.
     pub(crate) fn in_order(&self) -> impl Iterator<Item = NodeId> {
         self.order.iter().map(|(_, _, member)| *member)
     }
 
-    /// The news about a member was sent once more, or was heard again from another member; it is
-    /// dropped when that was the last time.
-    pub(crate) fn sent(&mut self, member: NodeId, limit: u32) {
+    /// Counts one more transmission of the update about a member, by this node or by another one;
+    /// removes the update once it reaches `limit`.
+    pub(crate) fn record_sent(&mut self, member: NodeId, limit: u32) {
         let Some(transmissions) = self.transmissions.get(&member).copied() else {
             return;
         };
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Drops the news about a member that is forgotten.
+    /// Removes the pending update about a member.
     pub(crate) fn remove(&mut self, member: NodeId) {
         if let Some(transmissions) = self.transmissions.remove(&member) {
             self.order.remove(&self.order_key(member, transmissions));
--- a/crates/membership/tests/freshness_rules.rs
+++ b/crates/membership/tests/freshness_rules.rs
@@ -1,4 +1,4 @@
-//! What counts as evidence of a recent configuration, and as of when.
+//! Which evidence shows that the configuration is recent, and how old the evidence is.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_node_that_has_heard_nothing_is_stale() {
+fn node_without_evidence_is_stale() {
     let freshness = Freshness::new(BOUND);
     assert!(!is_fresh(&freshness, 0, 0, &MemberList::default()));
     let stale = freshness.check(Moment(0), LogOffset(3), &named(1..=3), SELF);
@@ -44,10 +44,10 @@
 }
 
 #[test]
-fn word_of_the_log_counts_from_when_it_was_asked() {
+fn log_end_report_is_dated_by_its_request() {
     let list = MemberList::default();
     let mut freshness = Freshness::new(BOUND);
-    freshness.log_word(Moment(1_000), LogOffset(5));
+    freshness.record_log_end(Moment(1_000), LogOffset(5));
     assert!(is_fresh(&freshness, 13_000, 5, &list));
     assert!(!is_fresh(&freshness, 13_001, 5, &list));
     assert!(
@@ -57,14 +57,14 @@
 }
 
 #[test]
-fn relayed_word_is_as_old_as_its_age_before_the_question() {
+fn relayed_log_end_is_dated_by_its_age_before_the_request() {
     let list = MemberList::default();
     let mut freshness = Freshness::new(BOUND);
-    freshness.relayed_log_word(Moment(1_000), Duration::from_secs(10), LogOffset(5));
+    freshness.record_relayed_log_end(Moment(1_000), Duration::from_secs(10), LogOffset(5));
     assert!(is_fresh(&freshness, 3_000, 5, &list));
     assert!(!is_fresh(&freshness, 3_001, 5, &list));
     assert_eq!(
-        freshness.applied_log_word_age(Moment(1_000), LogOffset(5)),
+        freshness.applied_log_end_age(Moment(1_000), LogOffset(5)),
         Some(Duration::from_secs(10)),
         "also when that was before this process started"
     );
@@ -74,26 +74,26 @@
 fn a_node_that_lacks_new_records_is_fresh_for_the_bound_after_it_last_had_all() {
     let list = MemberList::default();
     let mut freshness = Freshness::new(BOUND);
-    freshness.log_word(Moment(1_000), LogOffset(5));
-    freshness.log_word(Moment(9_000), LogOffset(6));
-    freshness.forget_old(Moment(13_000));
+    freshness.record_log_end(Moment(1_000), LogOffset(5));
+    freshness.record_log_end(Moment(9_000), LogOffset(6));
+    freshness.discard_expired(Moment(13_000));
     assert!(is_fresh(&freshness, 13_000, 5, &list));
     assert!(!is_fresh(&freshness, 13_001, 5, &list));
     assert!(is_fresh(&freshness, 13_001, 6, &list));
     assert_eq!(
-        freshness.applied_log_word_age(Moment(9_000), LogOffset(5)),
+        freshness.applied_log_end_age(Moment(9_000), LogOffset(5)),
         Some(Duration::from_secs(8)),
         "only what was applied may be passed on"
     );
 }
 
 #[test]
-fn an_older_word_does_not_replace_a_younger_one() {
+fn older_log_end_report_does_not_replace_a_newer_one() {
     let list = MemberList::default();
     let mut freshness = Freshness::new(BOUND);
-    freshness.log_word(Moment(9_000), LogOffset(5));
-    freshness.log_word(Moment(1_000), LogOffset(5));
-    freshness.log_word(Moment(1_000), LogOffset(6));
+    freshness.record_log_end(Moment(9_000), LogOffset(5));
+    freshness.record_log_end(Moment(1_000), LogOffset(5));
+    freshness.record_log_end(Moment(1_000), LogOffset(6));
     assert!(is_fresh(&freshness, 21_000, 5, &list));
 }
 
@@ -101,12 +101,12 @@
 fn a_strict_majority_of_the_named_members_is_needed() {
     let list = named(1..=4);
     let mut freshness = Freshness::new(BOUND);
-    freshness.heard_member(Moment(1_000), NodeId(2), LogOffset(5));
-    for stranger in 10..20 {
-        freshness.heard_member(Moment(1_000), NodeId(stranger), LogOffset(5));
+    freshness.record_member_report(Moment(1_000), NodeId(2), LogOffset(5));
+    for unlisted in 10..20 {
+        freshness.record_member_report(Moment(1_000), NodeId(unlisted), LogOffset(5));
     }
     assert!(!is_fresh(&freshness, 1_000, 5, &list), "two of four");
-    freshness.heard_member(Moment(2_000), NodeId(3), LogOffset(5));
+    freshness.record_member_report(Moment(2_000), NodeId(3), LogOffset(5));
     assert!(is_fresh(&freshness, 13_000, 5, &list));
     assert!(!is_fresh(&freshness, 13_001, 5, &list));
 }
@@ -114,17 +114,17 @@
 #[test]
 fn a_node_the_list_does_not_name_does_not_count_itself() {
     let mut freshness = Freshness::new(BOUND);
-    freshness.heard_member(Moment(0), NodeId(2), LogOffset(0));
+    freshness.record_member_report(Moment(0), NodeId(2), LogOffset(0));
     assert!(is_fresh(&freshness, 0, 0, &named(1..=3)));
     assert!(!is_fresh(&freshness, 0, 0, &named(2..=4)));
 }
 
 #[test]
-fn a_member_that_has_applied_more_outweighs_a_majority() {
+fn member_that_has_applied_more_overrides_a_majority() {
     let list = named(1..=5);
     let mut freshness = Freshness::new(BOUND);
     for id in 2..=5 {
-        freshness.heard_member(Moment(0), NodeId(id), LogOffset(4 + id / 5));
+        freshness.record_member_report(Moment(0), NodeId(id), LogOffset(4 + id / 5));
     }
     assert!(!is_fresh(&freshness, 0, 4, &list));
     assert!(is_fresh(&freshness, 0, 5, &list));
--- a/crates/membership/tests/network_freshness.rs
+++ b/crates/membership/tests/network_freshness.rs
@@ -1,4 +1,4 @@
-//! Which nodes may go on when the log or other zones are out of reach, and what it costs.
+//! Which nodes stay fresh when the log or other zones are unreachable, and the bytes they send.
 
 mod support;
 
@@ -9,9 +9,9 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 #[test]
-fn with_the_log_away_all_stay_fresh_by_hearing_a_majority() {
+fn without_the_log_all_nodes_stay_fresh_through_a_majority() {
     for count in [3, 24, 95] {
-        let mut network = Network::settled(count, 31);
+        let mut network = Network::converged(count, 31);
         let named = network.member_list();
         network.log = None;
         for _ in 0..600 {
@@ -22,24 +22,24 @@
 }
 
 #[test]
-fn a_cut_without_the_log_makes_the_minority_stale_and_leaves_the_majority_fresh() {
+fn partition_without_the_log_makes_only_the_minority_stale() {
     for count in [24, 95] {
-        let mut network = Network::settled(count, 32);
+        let mut network = Network::converged(count, 32);
         let named = network.member_list();
         let minority = network.zone(0).to_string();
         network.log = None;
-        network.cut_zones.insert(minority.clone());
-        let cut_at = network.now;
+        network.isolated_zones.insert(minority.clone());
+        let partitioned_at = network.now;
         for _ in 0..900 {
             network.run_for(SECOND / 10);
-            let is_bound_over = network.now.since(cut_at) > 12 * SECOND;
+            let is_bound_exceeded = network.now.since(partitioned_at) > 12 * SECOND;
             for index in 0..count {
                 let is_minority = network.zone(index) == minority;
                 let is_fresh = network.is_fresh(index, &named);
-                assert!(is_minority || is_fresh, "the majority goes on");
+                assert!(is_minority || is_fresh, "the majority stays fresh");
                 assert!(
-                    !(is_minority && is_bound_over && is_fresh),
-                    "the minority stops"
+                    !(is_minority && is_bound_exceeded && is_fresh),
+                    "the minority becomes stale"
                 );
             }
         }
@@ -47,10 +47,10 @@
 }
 
 #[test]
-fn one_node_that_reaches_the_log_keeps_all_fresh() {
+fn one_node_that_can_reach_the_log_keeps_all_nodes_fresh() {
     let count = 24;
-    let mut network = Network::settled(count, 33);
-    // No majority can be counted by a list that names nobody.
+    let mut network = Network::converged(count, 33);
+    // An empty member list has no majority, so only reports of the log's end count.
     let named = Default::default();
     network.log = Some(([4].into(), havenstage_types::ids::LogOffset(0)));
     for _ in 0..600 {
@@ -60,10 +60,10 @@
 }
 
 #[test]
-fn a_frozen_node_is_stale_when_it_wakes() {
-    let mut network = Network::settled(24, 34);
+fn suspended_node_is_stale_when_it_resumes() {
+    let mut network = Network::converged(24, 34);
     let named = network.member_list();
-    network.freeze(5, 13 * SECOND);
+    network.suspend(5, 13 * SECOND);
     network.run_for(13 * SECOND - SECOND / 100);
     assert!(!network.is_fresh(5, &named));
 }
@@ -71,13 +71,13 @@
 #[test]
 fn gossip_stays_within_its_bound() {
     for count in [24, 95, 380] {
-        let mut network = Network::introduced(count, 35);
+        let mut network = Network::with_known_members(count, 35);
         let with_log = network.measure_sent(20 * SECOND);
         println!("{count} nodes, steady: {with_log:.0?}");
         network.log = None;
         network.run_for(10 * SECOND);
         let without_log = network.measure_sent(20 * SECOND);
-        println!("{count} nodes, log away: {without_log:.0?}");
+        println!("{count} nodes, log unreachable: {without_log:.0?}");
         assert!(with_log.highest_bytes <= 1_500.0);
         assert!(without_log.highest_bytes <= 1_500.0);
         let named = network.member_list();
--- a/crates/membership/tests/ownership.rs
+++ b/crates/membership/tests/ownership.rs
@@ -1,4 +1,4 @@
-//! Roles are spread evenly, agreed on, and move only when their owner goes.
+//! Roles are assigned evenly and consistently, and move only when their owner is lost.
 
 use std::net::SocketAddr;
 
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn an_engine_has_its_home_in_its_zone_as_long_as_a_member_is_there() {
+fn engine_home_is_in_its_zone_while_the_zone_has_a_member() {
     let engine = EngineName::new("engine-1");
     let lodi = Zone::new(ZONES[0]);
     let all = view(1..=9);
@@ -112,7 +112,7 @@
     assert_eq!(home_of_engine(&view([]), &engine, &lodi), None);
 }
 
-/// A change of these values would move every key of a running deployment to another partition.
+/// Changing these values would move every key of a running deployment to another partition.
 #[test]
 fn the_partition_of_a_key_never_changes() {
     let partitions: Vec<u64> = ["notice-1", "notice-2", "slot-17"]
--- a/crates/membership/tests/support/mod.rs
+++ b/crates/membership/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! A network of members in memory: virtual clock, seeded loss and delay, cuts and freezes.
+//! In-memory network of members with a virtual clock, seeded loss and delay, network partitions and
+//! suspended processes.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -24,14 +25,14 @@
     pub membership: Membership,
     pub identity: MemberIdentity,
     pub running: bool,
-    pub frozen_until: Option<Moment>,
+    pub suspended_until: Option<Moment>,
     pub declared_dead_at: Option<Moment>,
-    pub behind: Vec<(Moment, NodeId)>,
+    pub behind_reports: Vec<(Moment, NodeId)>,
     pub bytes_sent: u64,
     pub packets_sent: u64,
-    /// Address of which the node asked the member list last.
-    asked_to_join: Option<SocketAddr>,
-    /// Events that arrived while the process was frozen.
+    /// Address to which the node sent its last join request.
+    last_join_address: Option<SocketAddr>,
+    /// Inputs that arrived while the process was suspended.
     backlog: Vec<MembershipInput>,
 }
 
@@ -44,9 +45,9 @@
     pub now: Moment,
     pub nodes: Vec<Node>,
     pub loss: f64,
-    /// Zones cut off from all others.
-    pub cut_zones: BTreeSet<String>,
-    /// Nodes that still reach the log, which names this end.
+    /// Zones without a connection to any other zone.
+    pub isolated_zones: BTreeSet<String>,
+    /// Nodes that can reach the log, and the log's end; `None` if no node can.
     pub log: Option<(BTreeSet<Index>, LogOffset)>,
     settings: MembershipSettings,
     rng: ChaCha8Rng,
@@ -63,7 +64,7 @@
             now: Moment(0),
             nodes: Vec::new(),
             loss: 0.0,
-            cut_zones: BTreeSet::new(),
+            isolated_zones: BTreeSet::new(),
             log: None,
             settings,
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -73,8 +74,8 @@
         }
     }
 
-    /// A network in which `count` nodes have found each other.
-    pub fn settled(count: usize, seed: u64) -> Self {
+    /// Creates a network in which `count` nodes have discovered each other.
+    pub fn converged(count: usize, seed: u64) -> Self {
         let mut network = Self::new(seed);
         network.log = Some(((0..count).collect(), LogOffset(0)));
         for _ in 0..count {
@@ -87,23 +88,23 @@
         network
     }
 
-    /// A network whose nodes were handed the member list, which spares a large network the time of
-    /// finding each other.
-    pub fn introduced(count: usize, seed: u64) -> Self {
+    /// Creates a network whose nodes get the member list directly, which saves a large network the
+    /// time of discovery.
+    pub fn with_known_members(count: usize, seed: u64) -> Self {
         let mut network = Self::new(seed);
         network.log = Some(((0..count).collect(), LogOffset(0)));
         for _ in 0..count {
             network.start();
         }
         for index in 0..count {
-            network.introduce_all(index);
+            network.deliver_member_list(index);
         }
         network.run_for(Duration::from_secs(20));
         assert!(network.agrees_on_all());
         network
     }
 
-    fn introduce_all(&mut self, index: Index) {
+    fn deliver_member_list(&mut self, index: Index) {
         let identities = self.nodes.iter().map(|node| node.identity.clone());
         let alive = identities.map(|identity| MemberUpdate {
             identity,
@@ -112,8 +113,8 @@
             config_offset: LogOffset(0),
         });
         let updates: Vec<MemberUpdate> = alive.collect();
-        let asked = self.nodes[index]
-            .asked_to_join
+        let join_address = self.nodes[index]
+            .last_join_address
             .expect("a node asks to join");
         let packet = GossipPacket {
             from: self.id(self.addresses[&asked]),
@@ -123,7 +124,7 @@
             body: GossipBody::Updates,
             updates,
         };
-        let from = asked;
+        let from = join_address;
         self.input(index, MembershipInput::Packet { from, packet });
     }
 
@@ -148,12 +149,12 @@
             membership,
             identity,
             running: true,
-            frozen_until: None,
+            suspended_until: None,
             declared_dead_at: None,
-            behind: Vec::new(),
+            behind_reports: Vec::new(),
             bytes_sent: 0,
             packets_sent: 0,
-            asked_to_join: None,
+            last_join_address: None,
             backlog: Vec::new(),
         });
         self.addresses.insert(address, index);
@@ -168,14 +169,14 @@
         self.nodes[index].running = false;
     }
 
-    pub fn freeze(&mut self, index: Index, duration: Duration) {
-        self.nodes[index].frozen_until = Some(self.now + duration);
+    pub fn suspend(&mut self, index: Index, duration: Duration) {
+        self.nodes[index].suspended_until = Some(self.now + duration);
     }
 
     pub fn input(&mut self, index: Index, input: MembershipInput) {
         let actions = self.nodes[index].membership.handle(self.now, input);
         for action in actions {
-            self.act(index, action);
+            self.perform(index, action);
         }
     }
 
@@ -185,7 +186,7 @@
         self.now = end;
     }
 
-    /// Runs until `done`, checked every 100 ms; returns how long it took.
+    /// Runs until `done` returns true, checked every 100 ms; returns the virtual time it took.
     pub fn run_until(
         &mut self,
         what: &str,
@@ -202,11 +203,11 @@
     }
 
     /// Nodes that run and were not declared dead.
-    pub fn live(&self) -> Vec<Index> {
-        let is_live = |index: &Index| {
+    pub fn running_nodes(&self) -> Vec<Index> {
+        let is_running = |index: &Index| {
             self.nodes[*index].running && self.nodes[*index].declared_dead_at.is_none()
         };
-        (0..self.nodes.len()).filter(is_live).collect()
+        (0..self.nodes.len()).filter(is_running).collect()
     }
 
     pub fn zone(&self, index: Index) -> &str {
@@ -222,7 +223,7 @@
         view.members.get(&self.id(of)).map(|member| member.state)
     }
 
-    /// Whether `by` sees exactly `others` as alive and nobody else as running.
+    /// Whether `by` sees exactly `others` as alive and no other member as running.
     pub fn sees_exactly(&self, by: Index, others: &[Index]) -> bool {
         let running_count = self.nodes[by].membership.view().running().count();
         if running_count != others.len() {
@@ -239,8 +240,10 @@
     }
 
     pub fn agrees_on_all(&self) -> bool {
-        let live = self.live();
-        live.iter().all(|by| self.sees_exactly(*by, &live))
+        let running_nodes = self.running_nodes();
+        running_nodes
+            .iter()
+            .all(|by| self.sees_exactly(*by, &running_nodes))
     }
 
     pub fn member_list(&self) -> MemberList {
@@ -260,7 +263,7 @@
             .is_ok()
     }
 
-    /// Most bytes and packets that any live node sends per second over a time.
+    /// Measures the bytes and packets that nodes send per second over `duration`.
     pub fn measure_sent(&mut self, duration: Duration) -> SentRates {
         let totals = |network: &Self| -> Vec<(u64, u64)> {
             let nodes = network.nodes.iter();
@@ -308,14 +311,14 @@
         if !node.running || node.declared_dead_at.is_some() {
             return;
         }
-        if let Some(wake) = node.frozen_until.filter(|until| *until > self.now) {
-            self.schedule(wake, Event::Tick(index));
+        if let Some(resume_at) = node.suspended_until.filter(|until| *until > self.now) {
+            self.schedule(resume_at, Event::Tick(index));
             return;
         }
-        node.frozen_until = None;
-        // A woken process may well see its timer before the datagrams that wait.
+        node.suspended_until = None;
+        // A resumed process may handle its timer before the datagrams received while suspended.
         let backlog = std::mem::take(&mut node.backlog);
-        self.ask_log(index);
+        self.query_log(index);
         self.input(index, MembershipInput::Tick);
         for input in backlog {
             self.input(index, input);
@@ -325,14 +328,14 @@
         self.schedule(next, Event::Tick(index));
     }
 
-    fn ask_log(&mut self, index: Index) {
-        let Some((reached_by, end)) = &self.log else {
+    fn query_log(&mut self, index: Index) {
+        let Some((reachable_from, end)) = &self.log else {
             return;
         };
-        if reached_by.contains(&index) {
+        if reachable_from.contains(&index) {
             let end = *end;
             let asked_at = self.now;
-            self.input(index, MembershipInput::LogWord { asked_at, end });
+            self.input(index, MembershipInput::LogEndReport { asked_at, end });
         }
     }
 
@@ -341,20 +344,20 @@
         if !node.running {
             return;
         }
-        if node.frozen_until.is_some_and(|until| until > self.now) {
+        if node.suspended_until.is_some_and(|until| until > self.now) {
             node.backlog.push(input);
             return;
         }
         self.input(index, input);
     }
 
-    fn act(&mut self, index: Index, action: MembershipAction) {
+    fn perform(&mut self, index: Index, action: MembershipAction) {
         let now = self.now;
         let node = &mut self.nodes[index];
         match action {
             MembershipAction::Send { to, packet } => self.transmit(index, to, packet),
             MembershipAction::ViewChanged => {}
-            MembershipAction::ConfigBehind { peer } => node.behind.push((now, peer)),
+            MembershipAction::ConfigBehind { peer } => node.behind_reports.push((now, peer)),
             MembershipAction::DeclaredDead => node.declared_dead_at = Some(now),
         }
     }
@@ -366,7 +369,7 @@
         node.bytes_sent += bytes.len() as u64;
         node.packets_sent += 1;
         if packet.body == GossipBody::Join {
-            node.asked_to_join = Some(to);
+            node.last_join_address = Some(to);
         }
         let sender = node.identity.peer_address;
         let is_lost = self.rng.random_bool(self.loss);
@@ -374,14 +377,14 @@
         let Some(receiver) = self.addresses.get(&to).copied() else {
             return;
         };
-        if !is_lost && !self.is_cut(from, receiver) {
+        if !is_lost && !self.is_disconnected(from, receiver) {
             self.schedule(self.now + delay, Event::Packet(receiver, sender, packet));
         }
     }
 
-    fn is_cut(&self, one: Index, other: Index) -> bool {
+    fn is_disconnected(&self, one: Index, other: Index) -> bool {
         let (one, other) = (self.zone(one), self.zone(other));
-        one != other && (self.cut_zones.contains(one) || self.cut_zones.contains(other))
+        one != other && (self.isolated_zones.contains(one) || self.isolated_zones.contains(other))
     }
 
     fn schedule(&mut self, at: Moment, event: Event) {
@@ -390,7 +393,7 @@
     }
 }
 
-/// What the nodes send per second.
+/// Rates per second at which nodes send; the maximum over nodes, and the mean of the bytes.
 #[derive(Debug)]
 pub struct SentRates {
     pub highest_bytes: f64,
--- a/crates/node/src/config_follower.rs
+++ b/crates/node/src/config_follower.rs
@@ -87,7 +87,7 @@
         )
         .await?;
     apply_records(context, &batch.records).await;
-    let word = MembershipInput::LogWord {
+    let word = MembershipInput::LogEndReport {
         asked_at,
         end: batch.end,
     };
