--- a/crates/step-report/src/lib.rs
+++ b/crates/step-report/src/lib.rs
@@ -1,7 +1,7 @@
-//! Where the time of each training step went, read from the log lines of gateway nodes.
+//! Report of the phases of each training step, computed from the log lines of gateway nodes.
 //!
-//! Log lines alone are used, so the report can be made of any node's output, of all nodes together,
-//! and long after the fact.
+//! The report needs only log lines, so it works for one node or for all nodes together, and for logs
+//! of any age.
 
 pub mod line;
 pub mod step;
--- a/crates/step-report/src/main.rs
+++ b/crates/step-report/src/main.rs
@@ -1,5 +1,5 @@
-//! Reads log lines of gateway nodes from a file or standard input, and prints where the time of each
-//! training step went.
+//! Reads log lines of gateway nodes from a file or standard input and prints when each training step
+//! reached its phases.
 
 use std::fs::File;
 use std::io::{BufRead, BufReader, stdin};
@@ -11,10 +11,10 @@
 
 const HELP: &str = "havenstage-steps [FILE]
 
-Prints for each training step when it was taken, when its items had begun, when the groups its
-trainer waits for were whole, and when it was ended. FILE holds log lines of one or more gateway
-nodes in the order of time; without it they are read from standard input. Before a line's JSON
-object may stand the seconds since some moment. Lines that are no log lines are passed over.
+Prints for each training step when its batch was accepted (taken), when its items started (begun),
+when the groups that its trainer waits for were complete (whole), and when it ended. FILE contains
+log lines of one or more gateway nodes in time order; without FILE they are read from standard
+input. A line's JSON object may follow a time in seconds. Lines that are not log lines are skipped.
 ";
 
 fn main() -> anyhow::Result<()> {
@@ -30,12 +30,12 @@
             let file = File::open(path).with_context(|| format!("cannot read {path:?}"))?;
             Box::new(BufReader::new(file))
         }
-        _ => bail!("one file at most is read; see --help"),
+        _ => bail!("expected at most one file and no options; see --help"),
     };
     let mut steps = Steps::default();
     for text in input.lines() {
         if let Ok(line) = LogLine::parse(&text?) {
-            steps.take(line);
+            steps.add(line);
         }
     }
     print!("{}", table::render(&steps.times()));
--- a/crates/step-report/src/step.rs
+++ b/crates/step-report/src/step.rs
@@ -1,10 +1,9 @@
-//! The times of a step, gathered from log lines.
+//! Phase times of training steps, collected from log lines.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use crate::line::LogLine;
 
-/// An item of a step.
 #[derive(Debug, Clone, Default)]
 struct Item {
     group: Option<String>,
@@ -13,36 +12,37 @@
     events: u32,
 }
 
-/// A step as the lines tell of it.
+/// Data of a step collected from log lines. Times are on the clock of the lines.
 #[derive(Debug, Clone, Default)]
 struct Step {
     number: Option<u64>,
-    desired: usize,
-    taken_s: Option<f64>,
+    desired_groups: usize,
+    accepted_s: Option<f64>,
     items: BTreeMap<String, Item>,
     last_read_s: Option<f64>,
     ended_s: Option<f64>,
 }
 
-/// When what happened in a step, in seconds after it was taken.
+/// Phase times of a step, in seconds after its batch was accepted. A time is `None` if the lines
+/// don't show that the step reached the phase.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StepTimes {
-    /// Number of the step, if the lines tell it.
+    /// Number of the step; `None` if the lines don't contain it.
     pub number: Option<u64>,
-    /// Its batch.
+    /// Id of the step's batch.
     pub batch: String,
-    /// When it was taken, on the clock of the lines.
-    pub taken_s: f64,
-    /// When half of its items had begun.
-    pub half_begun: Option<f64>,
-    /// When all of its items had begun.
-    pub all_begun: Option<f64>,
-    /// When as many groups were whole as its trainer waits for, and all that came again from an
-    /// earlier step.
-    pub whole: Option<f64>,
-    /// Events of the longest item that this waited for.
+    /// When the batch was accepted, in seconds on the clock of the lines.
+    pub accepted_s: f64,
+    /// When half of its items had started.
+    pub half_started: Option<f64>,
+    /// When all of its items had started.
+    pub all_started: Option<f64>,
+    /// When as many groups were complete as its trainer waits for, and also all groups carried over
+    /// from an earlier step.
+    pub groups_complete: Option<f64>,
+    /// Number of events of the longest item in the groups that were complete at that time.
     pub longest_needed: u32,
-    /// Groups that came again from an earlier step.
+    /// Number of groups carried over from an earlier step.
     pub carried_groups: usize,
     /// When its results were last read before its end.
     pub read: Option<f64>,
@@ -50,7 +50,7 @@
     pub ended: Option<f64>,
 }
 
-/// Gathers the steps of many lines.
+/// Collects steps from log lines.
 #[derive(Debug, Default)]
 pub struct Steps {
     steps: BTreeMap<String, Step>,
@@ -58,17 +58,17 @@
 }
 
 impl Steps {
-    /// Takes a line, in the order of time.
-    pub fn take(&mut self, line: LogLine) {
+    /// Adds a line. Lines must be added in time order.
+    pub fn add(&mut self, line: LogLine) {
         let Some(batch) = line.batch.clone() else {
             return;
         };
         let step = self.steps.entry(batch).or_default();
         match line.event.as_str() {
-            "batch_submitted" if line.status == Some(202) && step.taken_s.is_none() => {
+            "batch_submitted" if line.status == Some(202) && step.accepted_s.is_none() => {
                 step.number = line.step;
-                step.desired = line.desired_groups.unwrap_or(0);
-                step.taken_s = Some(line.at_s);
+                step.desired_groups = line.desired_groups.unwrap_or(0);
+                step.accepted_s = Some(line.at_s);
             }
             "run_started" | "output_kept" => {
                 let Some(request) = line.request else { return };
@@ -93,51 +93,52 @@
         }
     }
 
-    /// The steps whose begin is known, in its order.
+    /// Times of the steps whose batch is known to be accepted, in the order of acceptance.
     pub fn times(&self) -> Vec<StepTimes> {
-        let mut taken: Vec<(&String, &Step, f64)> = self
+        let mut accepted: Vec<(&String, &Step, f64)> = self
             .steps
             .iter()
-            .filter_map(|(batch, step)| Some((batch, step, step.taken_s?)))
+            .filter_map(|(batch, step)| Some((batch, step, step.accepted_s?)))
             .collect();
-        taken.sort_by(|left, right| left.2.total_cmp(&right.2));
-        let mut seen = BTreeSet::new();
+        accepted.sort_by(|left, right| left.2.total_cmp(&right.2));
+        let mut earlier_items = BTreeSet::new();
         let mut times = Vec::new();
-        for (batch, step, taken_s) in taken {
-            times.push(step.times(batch, taken_s, &seen));
-            seen.extend(step.items.keys().cloned());
+        for (batch, step, accepted_s) in accepted {
+            times.push(step.times(batch, accepted_s, &earlier_items));
+            earlier_items.extend(step.items.keys().cloned());
         }
         times
     }
 }
 
-/// A group of a step.
 #[derive(Debug, Clone, Copy)]
 struct Group {
-    whole_s: Option<f64>,
-    longest: u32,
+    complete_s: Option<f64>,
+    longest_item_events: u32,
     is_carried: bool,
 }
 
 impl Step {
-    fn times(&self, batch: &str, taken_s: f64, seen: &BTreeSet<String>) -> StepTimes {
-        let groups = self.groups(seen);
-        let whole = self.whole(&groups);
+    fn times(&self, batch: &str, accepted_s: f64, earlier_items: &BTreeSet<String>) -> StepTimes {
+        let groups = self.groups(earlier_items);
+        let complete_at = self.completion_time(&groups);
         let longest_needed = groups
             .iter()
-            .filter(|group| whole.is_some_and(|at| group.whole_s.is_some_and(|own| own <= at)))
-            .map(|group| group.longest)
+            .filter(|group| {
+                complete_at.is_some_and(|at| group.complete_s.is_some_and(|own_at| own_at <= at))
+            })
+            .map(|group| group.longest_item_events)
             .max();
-        let mut begun: Vec<f64> = self.items.values().filter_map(|i| i.started_s).collect();
-        begun.sort_by(f64::total_cmp);
-        let since = |at: Option<f64>| at.map(|at| at - taken_s);
+        let mut started: Vec<f64> = self.items.values().filter_map(|i| i.started_s).collect();
+        started.sort_by(f64::total_cmp);
+        let since = |at: Option<f64>| at.map(|at| at - accepted_s);
         StepTimes {
             number: self.number,
             batch: batch.to_owned(),
-            taken_s,
-            half_begun: since(begun.get(begun.len() / 2).copied()),
-            all_begun: since(begun.last().copied()),
-            whole: since(whole),
+            accepted_s,
+            half_started: since(started.get(started.len() / 2).copied()),
+            all_started: since(started.last().copied()),
+            groups_complete: since(complete_at),
             longest_needed: longest_needed.unwrap_or(0),
             carried_groups: groups.iter().filter(|group| group.is_carried).count(),
             read: since(self.last_read_s),
@@ -145,7 +146,7 @@
         }
     }
 
-    fn groups(&self, seen: &BTreeSet<String>) -> Vec<Group> {
+    fn groups(&self, earlier_items: &BTreeSet<String>) -> Vec<Group> {
         let mut groups: BTreeMap<Option<&String>, Vec<(&String, &Item)>> = BTreeMap::new();
         for (request, item) in &self.items {
             let members = groups.entry(item.group.as_ref()).or_default();
@@ -154,22 +155,24 @@
         groups
             .values()
             .map(|members| Group {
-                whole_s: members
+                complete_s: members
                     .iter()
                     .map(|(_, item)| item.finished_s)
                     .try_fold(f64::MIN, |latest, at| Some(latest.max(at?))),
-                longest: members.iter().map(|(_, i)| i.events).max().unwrap_or(0),
-                is_carried: members.iter().any(|(request, _)| seen.contains(*request)),
+                longest_item_events: members.iter().map(|(_, i)| i.events).max().unwrap_or(0),
+                is_carried: members
+                    .iter()
+                    .any(|(request, _)| earlier_items.contains(*request)),
             })
             .collect()
     }
 
-    /// When enough groups were whole, and all that came again.
-    fn whole(&self, groups: &[Group]) -> Option<f64> {
-        let mut whole: Vec<f64> = groups.iter().filter_map(|group| group.whole_s).collect();
-        whole.sort_by(f64::total_cmp);
-        let enough = *whole.get(self.desired.checked_sub(1)?)?;
+    /// When enough groups and all carried-over groups were complete, on the clock of the lines.
+    fn completion_time(&self, groups: &[Group]) -> Option<f64> {
+        let mut complete: Vec<f64> = groups.iter().filter_map(|group| group.complete_s).collect();
+        complete.sort_by(f64::total_cmp);
+        let enough = *complete.get(self.desired_groups.checked_sub(1)?)?;
         let mut carried = groups.iter().filter(|group| group.is_carried);
-        carried.try_fold(enough, |latest, group| Some(latest.max(group.whole_s?)))
+        carried.try_fold(enough, |latest, group| Some(latest.max(group.complete_s?)))
     }
 }
--- a/crates/step-report/tests/steps.rs
+++ b/crates/step-report/tests/steps.rs
@@ -1,4 +1,4 @@
-//! Where a step's time went, from its log lines.
+//! Phase times of training steps, computed from log lines.
 
 use havenstage_step_report::line::LogLine;
 use havenstage_step_report::step::{StepTimes, Steps};
@@ -24,21 +24,21 @@
 ];
 
 #[test]
-fn a_step_is_whole_once_enough_groups_are() {
+fn step_is_complete_once_enough_groups_are() {
     let times = times(&FIRST);
     assert_eq!(times.len(), 1);
     let step = &times[0];
     assert_eq!(step.number, Some(0));
-    assert_eq!(step.half_begun, Some(0.5));
-    assert_eq!(step.all_begun, Some(1.0));
-    assert_eq!(step.whole, Some(3.0));
+    assert_eq!(step.half_started, Some(0.5));
+    assert_eq!(step.all_started, Some(1.0));
+    assert_eq!(step.groups_complete, Some(3.0));
     assert_eq!(step.longest_needed, 40);
     assert_eq!(step.read, Some(3.5));
     assert_eq!(step.ended, Some(4.0));
 }
 
 #[test]
-fn a_step_waits_for_groups_that_came_again() {
+fn step_waits_for_carried_over_groups() {
     let second = [
         r#"  6.0 node-1 {"event":"batch_submitted","batch":"b2","step":2,"desired_groups":1,"status":202}"#,
         r#"  6.0 node-1 {"event":"output_kept","batch":"b2","request":"i3","events":7}"#,
@@ -49,33 +49,33 @@
     let lines: Vec<&str> = FIRST.iter().chain(&second).copied().collect();
     let times = times(&lines);
     assert_eq!(times[1].carried_groups, 1);
-    assert_eq!(times[1].whole, Some(2.0));
+    assert_eq!(times[1].groups_complete, Some(2.0));
     assert_eq!(times[1].longest_needed, 90);
     assert_eq!(times[1].ended, None);
 }
 
 #[test]
-fn lines_without_a_prefix_tell_their_time_themselves() {
+fn line_without_a_prefix_uses_its_timestamp() {
     let line = LogLine::parse(r#"{"event":"started","timestamp":"2026-10-05T04:25:44.014+00:00"}"#);
     let line = line.expect("a log line");
     assert!((line.at_s.fract() - 0.014).abs() < 1e-3);
 }
 
 #[test]
-fn other_lines_are_refused() {
+fn other_lines_are_rejected() {
     assert!(LogLine::parse("worth 0.8 = whole day").is_err());
     assert!(LogLine::parse(r#"1.0 node {"event":"#).is_err());
     assert!(LogLine::parse(r#"{"event":"started"}"#).is_err());
 }
 
-/// A step was shown as ended when the first call that should end it had been refused, though its batch ran
-/// on: each line `batch_end` counted, whatever its status.
+/// Guards against counting `batch_end` lines of any status: a step was reported as ended after a
+/// rejected call to end it, though its batch continued to run.
 #[test]
 fn a_step_has_ended_once_its_end_was_acknowledged() {
-    let refused = r#"  4.6 node-2 {"event":"batch_end","batch":"b1","status":503}"#;
+    let rejected = r#"  4.6 node-2 {"event":"batch_end","batch":"b1","status":503}"#;
     let lines: Vec<&str> = FIRST[..7]
         .iter()
-        .chain([&refused])
+        .chain([&rejected])
         .chain(&FIRST[7..])
         .copied()
         .collect();
