--- a/crates/membership/tests/support/mod.rs
+++ b/crates/membership/tests/support/mod.rs
@@ -117,7 +117,7 @@
             .last_join_address
             .expect("a node asks to join");
         let packet = GossipPacket {
-            from: self.id(self.addresses[&asked]),
+            from: self.id(self.addresses[&join_address]),
             config_offset: LogOffset(0),
             log_word_age: None,
             running_members: 1,
