--- a/crates/membership/src/roster.rs
+++ b/crates/membership/src/roster.rs
@@ -28,7 +28,7 @@
     Dead { since: Moment },
 }
 
-/// Id and address of a running member other than this node.
+/// Id and address of a running member to send to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Peer {
     pub(crate) id: NodeId,
--- a/crates/membership/src/ticks.rs
+++ b/crates/membership/src/ticks.rs
@@ -172,8 +172,8 @@
         }
     }
 
-    /// If the latest report of the log's end is older than a third of the freshness bound, pings
-    /// enough members that a majority answers within the bound.
+    /// Without a report of the log's end from the last third of the freshness bound, pings enough
+    /// members that a majority answers within the bound.
     fn poll_members(&mut self, now: Moment) {
         let bound = self.settings.freshness_bound;
         let log_end_age = self.freshness.log_end_age(now);
--- a/crates/step-report/tests/steps.rs
+++ b/crates/step-report/tests/steps.rs
@@ -6,7 +6,7 @@
 fn times(lines: &[&str]) -> Vec<StepTimes> {
     let mut steps = Steps::default();
     for line in lines {
-        steps.take(LogLine::parse(line).expect("a log line"));
+        steps.add(LogLine::parse(line).expect("a log line"));
     }
     steps.times()
 }
