--- a/crates/service/src/dialect/mod.rs
+++ b/crates/service/src/dialect/mod.rs
@@ -1,4 +1,4 @@
-//! Havenstage's own dialect of callers, trainers and engines.
+//! The HTTP protocol that the service speaks with callers, trainers and engines.
 
 mod completion;
 mod names;
@@ -24,16 +24,16 @@
 pub use results::{Results, SampleResult, SampleState};
 pub use submission::{BatchBody, SampleBody, ScoreBody};
 
-/// Content type of bodies.
+/// Content type of all bodies.
 const JSON: &str = "application/json";
 
-/// The dialect.
+/// Implements the gateway's [`Dialect`] with JSON bodies.
 pub struct HavenstageDialect {
     headers: HeaderNames,
 }
 
 impl HavenstageDialect {
-    /// The dialect.
+    /// Creates the dialect with the header names of [`headers`].
     pub fn new() -> Self {
         Self { headers: headers() }
     }
@@ -55,15 +55,15 @@
     }
 
     /// `GET /v1/batches/ID/results?from=N`, `GET /v1/batches/ID/samples/SAMPLE` and `DELETE /v1/batches/ID`;
-    /// batches are handed in with POST.
+    /// POST submits a batch.
     fn batch_call(&self, method: &Method, uri: &Uri) -> Option<BatchCall> {
         let rest = uri.path().strip_prefix(BATCHES_PATH)?;
         if *method == Method::POST {
             return None;
         }
-        let words: Vec<&str> = rest.split('/').collect();
-        Some(match (method, words.as_slice()) {
-            (&Method::GET, [batch, "results"]) => read_call(batch, uri),
+        let segments: Vec<&str> = rest.split('/').collect();
+        Some(match (method, segments.as_slice()) {
+            (&Method::GET, [batch, "results"]) => results_call(batch, uri),
             (&Method::GET, [batch, "samples", sample]) => BatchCall::ItemBody {
                 batch: BatchId::from(*batch),
                 item: ItemId::from(*sample),
@@ -85,13 +85,13 @@
         submission::read(batch, host, path, body)
     }
 
-    /// Prompts are texts, of which only engines know the tokens.
+    /// Always 0: prompts are text, and only engines have the tokenizer that counts their tokens.
     fn prompt_tokens(&self, _: &Item) -> u32 {
         0
     }
 
     fn result_bytes(&self, result: &ItemResult) -> usize {
-        results::most_bytes(result)
+        results::max_bytes(result)
     }
 
     fn write_results(&self, page: &ResultPage<'_>) -> Bytes {
@@ -115,7 +115,7 @@
     }
 }
 
-fn read_call(batch: &str, uri: &Uri) -> BatchCall {
+fn results_call(batch: &str, uri: &Uri) -> BatchCall {
     let query = uri.query().unwrap_or_default();
     let from = match query.split_once('=') {
         None if query.is_empty() => Ok(0),
--- a/crates/service/src/dialect/names.rs
+++ b/crates/service/src/dialect/names.rs
@@ -1,20 +1,20 @@
-//! Names of headers and paths.
+//! Header names and paths of the HTTP protocol.
 
 use havenstage_gateway::edge::HeaderNames;
 use http::HeaderName;
 
-/// Asks whether the node takes requests.
+/// Readiness endpoint: whether the node can accept requests.
 pub const READY_PATH: &str = "/readyz";
-/// Batches of samples.
+/// Prefix of the paths of batches of samples.
 pub const BATCHES_PATH: &str = "/v1/batches/";
-/// Completions, at the node and at engines.
+/// Endpoint for completions, on the node and on engines.
 pub const COMPLETIONS_PATH: &str = "/v1/completions";
-/// Orders to an engine.
+/// Endpoint of an engine that receives orders to load a version.
 pub const ENGINE_ORDER_PATH: &str = "/engine/order";
-/// An engine's report of itself.
+/// Endpoint of an engine that reports its models and state.
 pub const ENGINE_REPORT_PATH: &str = "/engine/report";
 
-/// Headers between callers, the node and engines.
+/// Names of the headers that callers, the node and engines exchange.
 pub fn headers() -> HeaderNames {
     HeaderNames {
         request_id: HeaderName::from_static("x-request-id"),
--- a/crates/service/src/dialect/orders.rs
+++ b/crates/service/src/dialect/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to engines, and their reports.
+//! Requests that send orders to engines and read their reports.
 
 use std::collections::BTreeMap;
 
@@ -13,33 +13,35 @@
 use super::JSON;
 use super::names::{ENGINE_ORDER_PATH, ENGINE_REPORT_PATH};
 
-/// An order to load a version.
+/// JSON body of an order to load a weight version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadOrder {
-    /// The model.
+    /// Name of the model.
     pub model: String,
-    /// The version.
+    /// Weight version to load.
     pub version: Version,
-    /// Whether running requests go on under the new version; else they end first.
+    /// Whether running requests continue with the new version. If false, the engine finishes them before
+    /// it loads.
     pub keeps_running: bool,
-    /// Who gives it.
+    /// Node that holds the order lease and sends the order.
     pub holder: String,
-    /// The holder's fencing token: an engine refuses a lower one than it has seen.
+    /// The holder's fencing token. An engine rejects an order whose token is lower than one it has seen.
     pub fence: u64,
-    /// Orders that the engine must have taken so far, if known.
+    /// Number of orders that the engine must have accepted before this one; `None` if the sender does
+    /// not know it.
     pub expected_orders: Option<u64>,
 }
 
-/// What an engine reports of itself.
+/// JSON body of an engine's report on its state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineReportBody {
-    /// Versions of its models.
+    /// Weight version of each model that the engine holds.
     pub models: BTreeMap<String, Version>,
-    /// Whether an order is under way.
+    /// Whether the engine is carrying out an order.
     pub is_loading: bool,
-    /// Orders it has taken.
+    /// Number of orders that the engine has accepted since it started.
     pub orders_taken: u64,
-    /// When it started, in milliseconds since the beginning of 1970.
+    /// When the engine started, in milliseconds since the Unix epoch.
     pub started_at_ms: u64,
 }
 
@@ -52,7 +54,7 @@
         fence: order.fence,
         expected_orders: order.expected_orders,
     };
-    // Without a body the engine refuses the order.
+    // If the order cannot be serialized, the body is empty and the engine rejects the order.
     let bytes = serde_json::to_vec(&body).unwrap_or_else(|error| {
         error!(event = "order_not_written", reason = error.to_string().as_str(); "");
         Vec::new()
--- a/crates/service/src/dialect/results.rs
+++ b/crates/service/src/dialect/results.rs
@@ -1,4 +1,4 @@
-//! Results of a batch as trainers read them.
+//! JSON bodies in which trainers read the results of a batch.
 
 use bytes::Bytes;
 use havenstage_gateway::edge::ResultPage;
@@ -10,62 +10,64 @@
 
 use super::completion::CompletionChunk;
 
-/// Bytes of a result besides its text, at most.
-const RESULT_OVERHEAD: usize = 256;
+/// Maximum size of a result without its text, in bytes.
+const RESULT_OVERHEAD_BYTES: usize = 256;
 
 /// A page of results.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Results {
-    /// Samples of the batch.
+    /// Number of samples in the batch.
     pub total: usize,
-    /// Position behind the last result of the page, from which the next page is read.
+    /// Position after the last result of this page; the next page is read from it.
     pub next: usize,
-    /// The results, in the order in which they were listed.
+    /// Results of finished samples, in the order in which the batch listed them.
     pub results: Vec<SampleResult>,
 }
 
-/// What became of a sample.
+/// Result of one sample.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SampleResult {
-    /// The sample.
+    /// Id of the sample.
     pub sample: String,
-    /// Whether it is whole.
+    /// Whether the sample is complete or was given up.
     pub state: SampleState,
-    /// Its text.
+    /// Text that the engines generated.
     pub text: String,
-    /// Weight versions that made it, the oldest first.
+    /// Weight versions that generated the text, the oldest first.
     pub weight_versions: Vec<Version>,
-    /// What its scoring call answered.
+    /// Answer of the sample's scoring call; `None` without such a call.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub score: Option<String>,
-    /// Why there will be no sample.
+    /// Why the sample was given up; `None` for a complete one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub reason: Option<String>,
 }
 
-/// Whether a sample is whole.
+/// Final state of a sample.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SampleState {
-    /// It is whole.
+    /// The sample is complete.
     Completed,
-    /// There will be none.
+    /// The gateway stopped trying to generate the sample.
     GivenUp,
 }
 
-/// Bytes that a result takes in a page, at most: its text is a part of what its events hold.
-pub(super) fn most_bytes(result: &ItemResult) -> usize {
+/// Upper bound of the bytes that a result takes in a page: its text is a part of the data of its events.
+pub(super) fn max_bytes(result: &ItemResult) -> usize {
     let events = result.events.iter().map(|event| event.data.len());
-    events.sum::<usize>() + RESULT_OVERHEAD
+    events.sum::<usize>() + RESULT_OVERHEAD_BYTES
 }
 
-/// Writes a page.
+/// Serializes a page of results; the body is empty if that fails.
 pub(super) fn write(page: &ResultPage<'_>) -> Bytes {
     let results = page.results.iter();
     let body = Results {
         total: page.total,
         next: page.next,
-        results: results.map(|(item, result)| sample(item, result)).collect(),
+        results: results
+            .map(|(item, result)| sample_result(item, result))
+            .collect(),
     };
     match serde_json::to_vec(&body) {
         Ok(bytes) => Bytes::from(bytes),
@@ -76,7 +78,7 @@
     }
 }
 
-fn sample(item: &ItemId, result: &ItemResult) -> SampleResult {
+fn sample_result(item: &ItemId, result: &ItemResult) -> SampleResult {
     let (state, score, reason) = match &result.outcome {
         Outcome::Completed { score } => (SampleState::Completed, score.clone(), None),
         Outcome::GivenUp(reason) => (SampleState::GivenUp, None, Some(format!("{reason:?}"))),
@@ -91,8 +93,8 @@
     }
 }
 
-/// The text in an event. The gateway keeps events as they come, so one that an engine wrote otherwise is
-/// told and left out.
+/// Returns the text of an event. The gateway stores events as engines send them, so an event in another
+/// format is logged and left out.
 fn text(event: &OutputEvent) -> Option<String> {
     match serde_json::from_slice::<CompletionChunk>(&event.data) {
         Ok(chunk) => chunk.choices.into_iter().next().map(|choice| choice.text),
--- a/crates/service/src/dialect/submission.rs
+++ b/crates/service/src/dialect/submission.rs
@@ -1,4 +1,4 @@
-//! Batches of samples as trainers hand them in.
+//! JSON bodies in which trainers submit batches of samples.
 
 use std::sync::Arc;
 
@@ -12,39 +12,40 @@
 use super::completion::CompletionRequest;
 use super::names::COMPLETIONS_PATH;
 
-/// A batch.
+/// Body of a submitted batch.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BatchBody {
-    /// The model.
+    /// Name of the model that generates the samples.
     pub model: String,
-    /// Training step that the samples are for.
+    /// Training step that uses the samples; `None` if the trainer does not give it.
     #[serde(default)]
     pub step: Option<u64>,
-    /// Oldest weight version that may make any token of a sample.
+    /// Oldest weight version that may generate a token of a sample.
     #[serde(default)]
     pub minimum_version: Version,
-    /// Whole groups that the trainer waits for; all where it is left out.
+    /// Number of complete groups that the trainer waits for. If it is left out, the number of samples is
+    /// used.
     #[serde(default)]
     pub wanted_groups: Option<u32>,
-    /// The samples.
+    /// Samples to generate.
     pub samples: Vec<SampleBody>,
 }
 
-/// A sample to be made.
+/// A sample to generate.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SampleBody {
-    /// Its id, unique within the batch.
+    /// Id of the sample, unique within the batch.
     pub id: String,
-    /// Its group, if it has one.
+    /// Group of the sample; `None` if it belongs to none.
     #[serde(default)]
     pub group: Option<String>,
-    /// The prompt.
+    /// Text that the model continues.
     pub prompt: String,
-    /// Most tokens of the sample.
+    /// Maximum number of tokens in the sample.
     pub max_tokens: u32,
-    /// The call that scores it, if it is to be scored.
+    /// Call that scores the finished sample; `None` if it is not scored.
     #[serde(default)]
     pub score: Option<ScoreBody>,
 }
@@ -55,16 +56,16 @@
 pub struct ScoreBody {
     /// Request id of the call.
     pub id: String,
-    /// Host that selects its route.
+    /// Host of the call, which selects its route.
     pub host: String,
-    /// Path.
+    /// Path of the call.
     pub path: String,
-    /// Body.
+    /// JSON body of the call; null if it is left out.
     #[serde(default)]
     pub body: Value,
 }
 
-/// Reads a batch.
+/// Parses the body of a batch. An error names the key and what is wrong with it.
 pub(super) fn read(
     id: BatchId,
     host: &str,
--- a/crates/service/src/engines/announcer.rs
+++ b/crates/service/src/engines/announcer.rs
@@ -1,4 +1,4 @@
-//! Keeps an engine's entry in the directory of back ends.
+//! Keeps an engine's entry in the directory of back ends up to date.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,10 +14,10 @@
 
 use super::EngineIdentity;
 
-/// Time between two looks at what the engine holds.
-const LOOK_PAUSE: Duration = Duration::from_millis(200);
+/// Interval at which the announcer polls the engine's state.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Writes an engine's entry whenever it changes.
+/// Task that writes an engine's directory entry whenever the engine's state changes.
 pub(super) struct Announcer {
     identity: Arc<EngineIdentity>,
     engine: Arc<EngineStandin>,
@@ -26,7 +26,7 @@
 }
 
 impl Announcer {
-    /// The announcer of an engine that serves at an address.
+    /// Creates the announcer of the engine that serves at `address`.
     pub(super) fn new(
         identity: Arc<EngineIdentity>,
         engine: Arc<EngineStandin>,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Announces until the task is ended.
+    /// Polls the engine and writes its entry on each change, until the task is aborted.
     pub(super) async fn run(self) {
         let mut announced = None;
         loop {
@@ -50,7 +50,7 @@
                 self.announce(&record);
                 announced = Some(record);
             }
-            tokio::time::sleep(LOOK_PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
--- a/crates/service/src/engines/mod.rs
+++ b/crates/service/src/engines/mod.rs
@@ -1,4 +1,5 @@
-//! Emulated engines in this process, each behind a port of its own, as the gateway's back ends.
+//! Emulated engines in this process. Each one listens on its own port and serves as a back end of the
+//! gateway.
 
 mod announcer;
 mod output;
@@ -22,48 +23,50 @@
 use self::announcer::Announcer;
 use crate::settings::{PoolSettings, ServeSettings};
 
-/// Executions whose records an engine keeps where the settings don't say: a process may serve for days.
-const MOST_RECORDS: u32 = 1_000;
+/// Default for the number of executions whose records an engine keeps. It is bounded because a process
+/// may serve for days.
+const MAX_RECORDS: u32 = 1_000;
 
-/// What others know of an engine, and what it counts.
+/// Identity, settings and counters of an engine.
 struct EngineIdentity {
     name: BackendName,
     pool: PoolName,
     model: ModelName,
     zone: String,
-    /// When it started, in milliseconds since the beginning of 1970.
+    /// When the engine started, in milliseconds since the Unix epoch.
     started_at_ms: u64,
     settings: EngineSettings,
-    /// Number of the engine, which tells its executions from those of others.
+    /// Number of the engine: the seed of its emulator, and the part of its attempt ids that makes them
+    /// differ from those of other engines.
     number: u64,
     executions: AtomicU64,
     orders_taken: AtomicU64,
-    /// Whether operators want it to get nothing new.
+    /// Whether an operator has asked for the engine to be drained: it gets no new requests.
     is_draining: AtomicBool,
 }
 
-/// An engine cannot be started.
+/// Why an emulated engine cannot be started.
 #[derive(Debug, Error)]
 pub enum EngineStartError {
-    /// No port could be had.
-    #[error("engine {name}: no port")]
+    /// No local port could be bound.
+    #[error("engine {name}: cannot bind a port on 127.0.0.1")]
     Port {
-        /// The engine.
+        /// Name of the engine.
         name: String,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The engine refused its settings or its port.
-    #[error("engine {name}")]
+    /// The engine rejected its settings or could not serve on its port.
+    #[error("engine {name} cannot be started")]
     Refused {
-        /// The engine.
+        /// Name of the engine.
         name: String,
-        /// Why.
+        /// Why the engine does not start.
         source: StandinError,
     },
 }
 
-/// No emulated engine has that name.
+/// No emulated engine of this process has the name.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("engine {name}: allowed are {}", known.join(", "))]
 pub(crate) struct UnknownEngine {
@@ -71,7 +74,8 @@
     known: Vec<String>,
 }
 
-/// Engines at work, each with an entry in the store. Dropping them ends them.
+/// Running engines, each with an entry in the store's directory of back ends. Dropping this value stops
+/// them.
 pub(crate) struct EmulatedEngines {
     store: Arc<MemoryStore>,
     running: Mutex<RunningEngines>,
@@ -110,9 +114,9 @@
         pool: &PoolSettings,
         zone: &str,
     ) -> Result<(), EngineStartError> {
-        for at in 1..=pool.emulated_engines {
+        for index in 1..=pool.emulated_engines {
             let number = self.lock().engines.len() as u64;
-            let identity = Arc::new(identity(pool, zone, at, number));
+            let identity = Arc::new(new_identity(pool, zone, index, number));
             let engine = start_engine(&identity).await?;
             let announcer = Announcer::new(
                 identity.clone(),
@@ -132,7 +136,7 @@
         Ok(())
     }
 
-    /// Has an engine say that it leaves, or that it does not any more.
+    /// Sets whether an engine is announced as draining.
     pub(crate) fn set_draining(&self, name: &str, is_draining: bool) -> Result<(), UnknownEngine> {
         let running = self.lock();
         let Some(engine) = running.engines.get(name) else {
@@ -151,12 +155,12 @@
     }
 }
 
-fn identity(pool: &PoolSettings, zone: &str, at: u32, number: u64) -> EngineIdentity {
-    // A clock before 1970 tells no start.
+fn new_identity(pool: &PoolSettings, zone: &str, index: u32, number: u64) -> EngineIdentity {
+    // If the system clock is set before 1970, the start time is given as 0.
     let since_1970 = SystemTime::now().duration_since(UNIX_EPOCH);
     let started_at_ms = since_1970.map_or(0, |time| time.as_millis() as u64);
     EngineIdentity {
-        name: BackendName::from(format!("{}-{at}", pool.name)),
+        name: BackendName::from(format!("{}-{index}", pool.name)),
         pool: PoolName::from(pool.name.as_str()),
         model: ModelName::from(pool.model.as_str()),
         zone: zone.to_owned(),
@@ -179,7 +183,7 @@
         source,
     })?;
     let mut engine = identity.settings.clone();
-    engine.most_records.get_or_insert(MOST_RECORDS);
+    engine.most_records.get_or_insert(MAX_RECORDS);
     let settings = EngineStandinSettings {
         engine,
         seed: identity.number,
--- a/crates/service/src/engines/output.rs
+++ b/crates/service/src/engines/output.rs
@@ -1,4 +1,4 @@
-//! An engine's output as a stream of events, or as one whole answer.
+//! Writes an engine's output as a stream of server-sent events, or as one whole answer.
 
 use std::io;
 
@@ -11,19 +11,19 @@
 
 use crate::dialect::{CompletionChunk, STREAM_END, headers};
 
-/// The engine ended the output before its last piece.
+/// The engine ended the output before its last chunk.
 #[derive(Debug, Error)]
 #[error("the engine broke the output off")]
 pub(super) struct BrokenOff;
 
-/// Where an execution's events begin.
+/// State with which the event stream of an execution starts.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct EventStart {
-    /// Events that the reader already has.
+    /// Number of events that the reader already has.
     pub(super) resumed_from: u32,
-    /// Version that the head of the answer names.
+    /// Weight version in the headers of the response. An event carries a version only when it changes.
     pub(super) version: u64,
-    /// Whether an event tells the end.
+    /// Whether an end event follows the last token.
     pub(super) has_end_mark: bool,
 }
 
@@ -34,7 +34,8 @@
     has_end_mark: bool,
 }
 
-/// The output as events, one for each token. An output that breaks off breaks the connection.
+/// Turns the output into events, one for each token. If the output ends before its last chunk, the stream
+/// fails and the connection is closed.
 pub(super) fn events(
     output: UnboundedReceiver<TokenChunk>,
     start: EventStart,
@@ -75,8 +76,9 @@
     fn event(&mut self, chunk: &TokenChunk) -> Result<String, io::Error> {
         self.last_id += 1;
         let id = self.last_id;
-        let piece = CompletionChunk::of(chunk.text.clone(), chunk.finish.map(finish_reason));
-        let data = serde_json::to_string(&piece)?;
+        let finish = chunk.finish.map(finish_reason);
+        let completion = CompletionChunk::with_text(chunk.text.clone(), finish);
+        let data = serde_json::to_string(&completion)?;
         let version = chunk.version.0;
         let mut text = String::new();
         if version != self.version {
@@ -87,13 +89,13 @@
     }
 }
 
-/// The event that ends a stream.
+/// Returns the event that ends a stream.
 pub(super) fn end_mark(id: u32) -> String {
     format!("id: {id}\ndata: {STREAM_END}\n\n")
 }
 
-/// The output as one answer.
-pub(super) async fn whole(
+/// Collects the output into one answer, with the weight versions that generated it.
+pub(super) async fn collect_answer(
     mut output: UnboundedReceiver<TokenChunk>,
 ) -> Result<CompletionChunk, BrokenOff> {
     let (mut text, mut versions) = (String::new(), Vec::new());
@@ -103,7 +105,7 @@
             versions.push(chunk.version.0);
         }
         if let Some(finish) = chunk.finish {
-            let mut answer = CompletionChunk::of(text, Some(finish_reason(finish)));
+            let mut answer = CompletionChunk::with_text(text, Some(finish_reason(finish)));
             answer.weight_versions = versions;
             return Ok(answer);
         }
--- a/crates/service/src/engines/server.rs
+++ b/crates/service/src/engines/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP interface of an emulated engine, in havenstage's dialect.
+//! The HTTP interface of an emulated engine.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -28,7 +28,7 @@
 
 type Identity = Extension<Arc<EngineIdentity>>;
 
-/// The engine's routes.
+/// Returns the engine's HTTP routes.
 pub(super) fn routes(identity: Arc<EngineIdentity>) -> Router<Arc<EngineStandin>> {
     Router::new()
         .route(COMPLETIONS_PATH, post(complete))
@@ -37,17 +37,17 @@
         .layer(Extension(identity))
 }
 
-/// Why an engine does not run a request.
+/// Why an engine rejects a request.
 enum Refusal {
-    /// The request is meant for another engine.
+    /// The request names another engine as its target.
     Misdirected,
-    /// It names no id, or one that cannot be read.
+    /// The request has no id, or one that is not visible ASCII text.
     NoRequestId,
-    /// Its body is not a request for a completion; the text names the key and what is wrong.
+    /// The body is not a completion request; the text names the key and what is wrong.
     Unreadable(String),
-    /// The engine has no place for it now.
+    /// The engine cannot run the request now, and has not started it.
     NotRun(SubmitRefusal),
-    /// It can never run here.
+    /// The engine can never run the request.
     Impossible(SubmitRefusal),
 }
 
@@ -91,11 +91,11 @@
         Ok(id) => id,
         Err(refusal) => return refusal.into_response(),
     };
-    let answered = match run(&engine, &identity, &head, id, &body).await {
+    let response = match run(&engine, &identity, &head, id, &body).await {
         Ok(response) => response,
         Err(refusal) => refusal.into_response(),
     };
-    signed(answered, &identity, head.get(headers().request_id))
+    add_identity_headers(response, &identity, head.get(headers().request_id))
 }
 
 fn request_id<'a>(head: &'a HeaderMap, identity: &EngineIdentity) -> Result<&'a str, Refusal> {
@@ -138,7 +138,7 @@
         request.max_tokens,
     );
     if resumed_from >= answer.length() {
-        return Ok(ended(&answer, &request, resumed_from));
+        return Ok(finished_response(&answer, &request, resumed_from));
     }
     let version = engine.true_load().version;
     let version = version.ok_or(SubmitRefusal::NoVersion)?.0;
@@ -158,7 +158,7 @@
         },
     })?;
     if !request.stream {
-        return Ok(match output::whole(output).await {
+        return Ok(match output::collect_answer(output).await {
             Ok(answer) => Json(answer).into_response(),
             Err(error) => (StatusCode::INTERNAL_SERVER_ERROR, error.to_string()).into_response(),
         });
@@ -174,8 +174,8 @@
     Ok(response)
 }
 
-/// The answer to a request whose reader has all tokens.
-fn ended(answer: &Answer, request: &CompletionRequest, resumed_from: u32) -> Response {
+/// Builds the response to a request whose reader already has all tokens.
+fn finished_response(answer: &Answer, request: &CompletionRequest, resumed_from: u32) -> Response {
     let lacks_end_mark = request.has_end_mark && resumed_from == answer.length();
     event_stream(match lacks_end_mark {
         true => Body::from(output::end_mark(resumed_from + 1)),
@@ -187,8 +187,13 @@
     ([(header::CONTENT_TYPE, "text/event-stream")], body).into_response()
 }
 
-/// The answer with the request's id and the engine's name, which tell a caller whose answer it is.
-fn signed(mut response: Response, identity: &EngineIdentity, id: Option<&HeaderValue>) -> Response {
+/// Adds the request's id and the engine's name to the response, so that the caller can check which request
+/// it belongs to and which engine sent it.
+fn add_identity_headers(
+    mut response: Response,
+    identity: &EngineIdentity,
+    id: Option<&HeaderValue>,
+) -> Response {
     let names = headers();
     let head = response.headers_mut();
     if let Some(id) = id {
--- a/crates/service/tests/dialect.rs
+++ b/crates/service/tests/dialect.rs
@@ -1,4 +1,4 @@
-//! Havenstage's dialect: what of calls, batches, results and reports is understood.
+//! How the dialect reads and writes batch calls, submissions, results, orders and reports.
 
 use bytes::Bytes;
 use havenstage_gateway::edge::{BatchCall, Dialect, LoadMode, ResultPage, VersionOrder};
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn calls_on_batches_are_told_from_others() {
+fn batch_calls_are_recognized_and_malformed_ones_reported() {
     let batch = BatchId::from("b");
     let read = |from| {
         Some(BatchCall::Read {
@@ -83,7 +83,7 @@
     let all = read(&json!({ "model": "m", "samples": [sample(), sample()] })).unwrap();
     assert_eq!(
         all.desired_groups, 2,
-        "all are wanted where nothing is said"
+        "the default of wanted_groups is the number of samples"
     );
 }
 
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn results_tell_text_versions_and_why_there_is_none() {
+fn results_hold_text_and_versions_or_the_reason_for_giving_up() {
     let completed = ItemResult {
         outcome: Outcome::Completed {
             score: Some("signed".to_owned()),
@@ -143,7 +143,7 @@
     let most_bytes = dialect.result_bytes(&completed) + dialect.result_bytes(&given_up);
     assert!(
         written.len() <= most_bytes + 100,
-        "the page's own fields aside"
+        "at most 100 bytes for the fields of the page itself"
     );
     let results: Results = serde_json::from_slice(&written).unwrap();
     assert_eq!((results.total, results.next), (3, 2));
@@ -162,7 +162,7 @@
 }
 
 #[tokio::test]
-async fn an_order_carries_its_fence_and_a_report_is_read() {
+async fn an_order_contains_its_fencing_token_and_a_report_is_read() {
     let dialect = HavenstageDialect::new();
     let request = dialect.order_request(&VersionOrder {
         model: ModelName::from("m"),
@@ -175,13 +175,13 @@
     let body = request.into_body().collect().await.unwrap().to_bytes();
     let order: LoadOrder = serde_json::from_slice(&body).unwrap();
     let expected = (5, 9, Some(2), true);
-    let told = (
+    let sent = (
         order.version,
         order.fence,
         order.expected_orders,
         order.keeps_running,
     );
-    assert_eq!(told, expected);
+    assert_eq!(sent, expected);
     let report = json!({
         "models": { "m": 5 }, "is_loading": true, "orders_taken": 3, "started_at_ms": 10,
     });
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn an_engine_says_not_run_by_its_header_or_that_it_is_another() {
+fn not_run_is_recognized_by_its_header_or_by_status_misdirected() {
     let dialect = HavenstageDialect::new();
     let mut head = http::HeaderMap::new();
     assert!(dialect.is_not_run(StatusCode::MISDIRECTED_REQUEST, &head));
