--- a/crates/service/src/explain/decisions.rs
+++ b/crates/service/src/explain/decisions.rs
@@ -1,4 +1,4 @@
-//! The node's newest decisions, as it logs them.
+//! Stores the node's most recent decisions, taken from its log lines.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -6,23 +6,23 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// Fields that name the subject of a decision.
+/// Log fields that name the subject of a decision.
 const SUBJECT_FIELDS: [&str; 5] = ["request", "batch", "backend", "engine", "model"];
-/// Lines that name a subject and decide nothing.
-const NO_DECISIONS: [&str; 1] = ["results_read"];
-/// Bytes that a decision counts for besides its fields.
-const DECISION_BYTES: usize = 128;
+/// Events that name a subject but are no decisions.
+const NON_DECISION_EVENTS: [&str; 1] = ["results_read"];
+/// Bytes that a decision counts for in addition to its event and fields.
+const DECISION_OVERHEAD_BYTES: usize = 128;
 /// Separates a batch from its sample in a subject.
 const SAMPLE_SEPARATOR: char = '/';
 
-/// A decision with its inputs.
+/// A decision of the node with its inputs.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Decision {
-    /// When it was made, in milliseconds since the beginning of 1970.
+    /// When the node logged the decision, in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// What happened.
+    /// Name of the logged event.
     pub event: String,
-    /// The inputs, their ages, and the outcome.
+    /// The other fields of the log line: inputs, their ages, and the outcome.
     pub fields: BTreeMap<String, Value>,
 }
 
@@ -34,28 +34,28 @@
     fn bytes(&self) -> usize {
         let fields = self.fields.iter();
         let bytes = fields.map(|(name, value)| name.len() + value.to_string().len());
-        DECISION_BYTES + self.event.len() + bytes.sum::<usize>()
+        DECISION_OVERHEAD_BYTES + self.event.len() + bytes.sum::<usize>()
     }
 
-    /// Whether it is to be kept.
+    /// Whether the decision names a subject, which is the condition for storing it.
     fn has_subject(&self) -> bool {
         let mut fields = SUBJECT_FIELDS.iter();
-        !NO_DECISIONS.contains(&self.event.as_str())
+        !NON_DECISION_EVENTS.contains(&self.event.as_str())
             && fields.any(|field| self.text(field).is_some_and(|text| !text.is_empty()))
     }
 }
 
-/// What an operator asks about.
+/// What an operator asks to have explained.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Subject {
     /// A sample of a batch, written `BATCH/SAMPLE`.
     Sample {
-        /// The batch.
+        /// Id of the batch.
         batch: String,
-        /// The sample.
+        /// Id of the sample.
         sample: String,
     },
-    /// A request, a batch, an engine or a model.
+    /// Name of a request, a batch, an engine or a model.
     Name(String),
 }
 
@@ -72,34 +72,36 @@
 }
 
 impl Subject {
-    /// Whether a decision is about the subject. Some on a sample name no batch.
+    /// Whether a decision is about the subject. A decision about a sample may name no batch; it then
+    /// matches the sample in any batch.
     fn is_of(&self, decision: &Decision) -> bool {
         match self {
             Self::Sample { batch, sample } => {
-                let of_batch = decision.text("batch");
+                let decision_batch = decision.text("batch");
                 decision.text("request") == Some(sample)
-                    && of_batch.is_none_or(|of_batch| of_batch == batch)
+                    && decision_batch.is_none_or(|decision_batch| decision_batch == batch)
             }
             Self::Name(name) => {
                 let mut fields = SUBJECT_FIELDS.iter();
-                fields.any(|field| names(decision.text(field), name))
+                fields.any(|field| is_name_of(decision.text(field), name))
             }
         }
     }
 }
 
-/// Whether a field names a subject; a life of an engine is its name and when it started.
-fn names(field: Option<&str>, name: &str) -> bool {
+/// Whether a field names the subject. A field may also name one incarnation of an engine: the engine's
+/// name, `@` and the start time.
+fn is_name_of(field: Option<&str>, name: &str) -> bool {
     field.is_some_and(|text| {
         let rest = text.strip_prefix(name);
         rest.is_some_and(|rest| rest.is_empty() || rest.starts_with('@'))
     })
 }
 
-/// The newest decisions, up to a bound of bytes.
+/// The most recent decisions, bounded by their size in bytes.
 #[derive(Debug)]
 pub struct DecisionRecords {
-    most_bytes: usize,
+    max_bytes: usize,
     kept: Mutex<Kept>,
 }
 
@@ -111,15 +113,15 @@
 }
 
 impl DecisionRecords {
-    /// None yet; the newest ones are kept up to so many bytes.
-    pub fn new(most_bytes: usize) -> Self {
+    /// Creates an empty store that drops the oldest decisions when it exceeds `max_bytes`.
+    pub fn new(max_bytes: usize) -> Self {
         Self {
-            most_bytes,
+            max_bytes,
             kept: Mutex::default(),
         }
     }
 
-    /// Keeps a decision if it has a subject.
+    /// Stores a decision if it has a subject.
     pub fn keep(&self, decision: Decision) {
         if !decision.has_subject() {
             return;
@@ -127,7 +129,7 @@
         let mut kept = self.lock();
         kept.bytes += decision.bytes();
         kept.decisions.push_back(decision);
-        while kept.bytes > self.most_bytes
+        while kept.bytes > self.max_bytes
             && let Some(oldest) = kept.decisions.pop_front()
         {
             kept.bytes -= oldest.bytes();
@@ -135,7 +137,7 @@
         }
     }
 
-    /// Decisions about a subject, the oldest first.
+    /// Returns the decisions about a subject, the oldest first.
     pub fn about(&self, subject: &Subject) -> Vec<Decision> {
         let kept = self.lock();
         let decisions = kept.decisions.iter();
@@ -143,7 +145,7 @@
         about.cloned().collect()
     }
 
-    /// Decisions that are not kept any more.
+    /// Returns the number of decisions that were dropped to stay within the bound.
     pub fn forgotten(&self) -> u64 {
         self.lock().forgotten
     }
--- a/crates/service/src/explain/logged.rs
+++ b/crates/service/src/explain/logged.rs
@@ -1,4 +1,4 @@
-//! What the log keeps of a batch, read from its partition.
+//! Reads the log records of a batch from its partition.
 
 use std::time::Duration;
 
@@ -10,81 +10,81 @@
 use havenstage_rollout::stored::Stored;
 use serde::{Deserialize, Serialize};
 
-/// Most bytes of records that are read for one answer.
-const MOST_BYTES: usize = 64 * 1024 * 1024;
+/// Bytes of records after which the read for one answer stops.
+const MAX_BYTES: usize = 64 * 1024 * 1024;
 
-/// What the log keeps of a batch, or of one of its samples.
+/// Log records of a batch, or of one of its samples.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoggedBatch {
-    /// The records, in the order of the log. One that was appended twice stands twice; the second changes
-    /// nothing.
+    /// The records, in the order of the log. A record that was appended twice is listed twice; the duplicate
+    /// has no effect.
     pub records: Vec<LoggedRecord>,
-    /// Offset of the oldest record that the log keeps of the partition; earlier ones are past their
-    /// retention.
+    /// Offset of the oldest record that the partition still holds, or 0 if the read started at the
+    /// beginning. Earlier records are past their retention.
     pub first_kept: u64,
 }
 
-/// A record.
+/// A log record as operators see it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "record", rename_all = "snake_case")]
 pub enum LoggedRecord {
     /// The batch was accepted.
     Submitted {
-        /// Its samples.
+        /// Number of samples in the batch.
         samples: usize,
-        /// Oldest version that may make any token.
+        /// Oldest weight version that may generate a token.
         minimum_version: Version,
-        /// The node that runs it.
+        /// Node that runs the batch from the start; `None` if any node may claim it.
         owner: Option<String>,
     },
-    /// A node took it over.
+    /// A node claimed the lease on the batch.
     Claimed {
-        /// The new owner.
+        /// Node that claimed the lease.
         owner: String,
-        /// Its term.
+        /// Claimed term; the claim takes effect only if it is higher than the current term.
         term: u64,
     },
-    /// Its owner gave it up.
+    /// The owner released its lease on the batch.
     Released {
-        /// The owner's term.
+        /// Term of the owner that released it.
         term: u64,
     },
-    /// More output of a run of a sample.
+    /// A run generated more output of a sample.
     Progress {
-        /// The sample.
+        /// Id of the sample.
         sample: String,
-        /// The run.
+        /// Number of the run.
         run: u64,
-        /// Events it went on from.
+        /// Number of earlier events from which the run resumed.
         resumed_from: u32,
-        /// New events.
+        /// Number of new events.
         events: usize,
-        /// Versions that made them.
+        /// Weight versions that generated the new events; consecutive repetitions are left out.
         weight_versions: Vec<Version>,
     },
-    /// The output so far was dropped, because its version is gone.
+    /// The output so far was discarded, because its weight version is no longer available.
     Restarted {
-        /// The sample.
+        /// Id of the sample.
         sample: String,
-        /// Events that were dropped.
+        /// Number of events that were discarded.
         events: u32,
     },
-    /// The sample is done.
+    /// The sample was completed or given up.
     Finished {
-        /// The sample.
+        /// Id of the sample.
         sample: String,
-        /// The run that finished it.
+        /// Number of the run that finished it.
         run: u64,
-        /// Events of the whole output.
+        /// Number of events in the whole output.
         events: u32,
-        /// Why there is none, if it was given up.
+        /// Why the sample was given up; `None` if it was completed.
         given_up: Option<String>,
     },
     /// The caller ended the batch.
     Ended,
 }
 
-/// Reads what the log keeps of a batch, or of one of its samples; `None` if it keeps nothing of it.
+/// Reads the log records of a batch, or of one of its samples; `None` if the log holds none.
 pub(crate) async fn read(
     log: &dyn SharedLog,
     partition: StreamPartition,
@@ -109,23 +109,23 @@
             let Some(value) = joiner.push(record) else {
                 continue;
             };
-            // One that cannot be read belongs to no batch that could be named.
+            // Without decoding a record, its batch is unknown, so an unreadable record is skipped.
             let Ok(record) = BatchRecord::decode(&value) else {
                 continue;
             };
             if record.batch() == batch {
-                logged.records.extend(told(&record, sample));
+                logged.records.extend(logged_record(&record, sample));
             }
         }
-        if from >= page.end || bytes > MOST_BYTES {
+        if from >= page.end || bytes > MAX_BYTES {
             return Ok((!logged.records.is_empty()).then_some(logged));
         }
     }
 }
 
-/// A record as it is told, if it concerns the sample or the batch as a whole.
-fn told(record: &BatchRecord, sample: Option<&ItemId>) -> Option<LoggedRecord> {
-    let is_asked = |item: &ItemId| sample.is_none_or(|sample| sample == item);
+/// Converts a record for the answer if it concerns the sample or the batch as a whole.
+fn logged_record(record: &BatchRecord, sample: Option<&ItemId>) -> Option<LoggedRecord> {
+    let is_requested = |item: &ItemId| sample.is_none_or(|sample| sample == item);
     match record {
         BatchRecord::Submitted { submission, owner }
         | BatchRecord::SubmittedFor {
@@ -142,7 +142,7 @@
             resumed_from,
             events,
             ..
-        } if is_asked(item) => {
+        } if is_requested(item) => {
             let mut weight_versions: Vec<Version> =
                 events.iter().map(|event| event.version).collect();
             weight_versions.dedup();
@@ -154,7 +154,7 @@
                 weight_versions,
             })
         }
-        BatchRecord::Restarted { item, events, .. } if is_asked(item) => {
+        BatchRecord::Restarted { item, events, .. } if is_requested(item) => {
             Some(LoggedRecord::Restarted {
                 sample: item.to_string(),
                 events: *events,
@@ -166,7 +166,7 @@
             events,
             outcome,
             ..
-        } if is_asked(item) => Some(LoggedRecord::Finished {
+        } if is_requested(item) => Some(LoggedRecord::Finished {
             sample: item.to_string(),
             run: run.0,
             events: *events,
--- a/crates/service/src/explain/mod.rs
+++ b/crates/service/src/explain/mod.rs
@@ -1,5 +1,5 @@
-//! Why something happened to a request, a sample, a batch or an engine: what the node decided, with the
-//! inputs of each decision, and what the log keeps.
+//! Explains what happened to a request, a sample, a batch, an engine or a model: the node's decisions with
+//! their inputs, and the records in the log.
 
 mod decisions;
 mod logged;
@@ -12,15 +12,16 @@
 pub use logged::{LoggedBatch, LoggedRecord};
 pub use writer::RecordingWriter;
 
-/// All that is known of a subject.
+/// Everything that the node and the log know about a subject.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Explanation {
-    /// The subject.
+    /// The subject as the operator wrote it.
     pub subject: String,
-    /// What the node decided, the oldest first.
+    /// Decisions of the node about the subject, the oldest first.
     pub decisions: Vec<Decision>,
-    /// Decisions on any subject that are not kept any more.
+    /// Number of decisions, on any subject, that the node has dropped because its memory for them is
+    /// bounded.
     pub decisions_forgotten: u64,
-    /// What the log keeps of the subject's batch, if it has one and the log still keeps it.
+    /// Log records of the subject's batch; `None` if it has no batch or the log holds no record of it.
     pub logged: Option<LoggedBatch>,
 }
--- a/crates/service/src/explain/writer.rs
+++ b/crates/service/src/explain/writer.rs
@@ -1,4 +1,4 @@
-//! Keeps the node's decisions on their way to the log's output.
+//! A log writer that records the node's decisions before it passes the lines on.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -12,17 +12,17 @@
 
 use super::decisions::{Decision, DecisionRecords};
 
-/// Name of the field that tells what happened.
+/// Log field that names the event.
 const EVENT: &str = "event";
 
-/// Keeps decisions and passes all lines on.
+/// Records decisions and passes all log lines on to another writer.
 pub struct RecordingWriter {
     output: Box<dyn LogWriter>,
     records: Arc<DecisionRecords>,
 }
 
 impl RecordingWriter {
-    /// Keeps decisions in `records`, and passes all lines on to `output`, which may drop some.
+    /// Records decisions in `records` and passes all lines on to `output`, which may drop some of them.
     pub fn new(output: Box<dyn LogWriter>, records: Arc<DecisionRecords>) -> Self {
         Self { output, records }
     }
@@ -30,7 +30,7 @@
 
 impl LogWriter for RecordingWriter {
     fn write(&self, now: &mut DeferredNow, record: &Record<'_>) -> io::Result<()> {
-        if let Some(decision) = decision(now, record) {
+        if let Some(decision) = parse_decision(now, record) {
             self.records.keep(decision);
         }
         self.output.write(now, record)
@@ -41,9 +41,9 @@
     }
 }
 
-fn decision(now: &mut DeferredNow, record: &Record<'_>) -> Option<Decision> {
+fn parse_decision(now: &mut DeferredNow, record: &Record<'_>) -> Option<Decision> {
     let mut fields = Fields(BTreeMap::new());
-    // Pairs that cannot be visited are left out.
+    // If visiting fails, the pairs after the failure are left out.
     let _ = record.key_values().visit(&mut fields);
     let event = fields.0.remove(EVENT)?;
     Some(Decision {
--- a/crates/service/tests/explain.rs
+++ b/crates/service/tests/explain.rs
@@ -1,4 +1,4 @@
-//! Which decisions are kept, and which are told of a subject.
+//! Which decisions are recorded, and which are returned for a subject.
 
 use std::collections::BTreeMap;
 
@@ -47,7 +47,7 @@
     assert_eq!(
         events(&records, "e1"),
         ["run_started", "send_broke"],
-        "of each life of it"
+        "the name of an engine matches each of its incarnations"
     );
     assert_eq!(events(&records, "m"), ["version_published"]);
     assert!(events(&records, "nobody").is_empty());
