--- a/crates/service/src/lib.rs
+++ b/crates/service/src/lib.rs
@@ -1,8 +1,8 @@
-//! `havenstage serve`: the gateway in one process with a store in memory, behind havenstage's own
-//! dialect, with resources for operators and, where asked for, emulated engines.
+//! `havenstage serve`: the gateway in one process, with a store in memory, an HTTP protocol for callers,
+//! trainers and engines, an HTTP interface for operators and, if configured, emulated engines.
 //!
-//! It decides nothing about requests: the gateway does. This crate translates settings, calls and
-//! resources, and tells what the gateway's node was told by its directories.
+//! The gateway makes all decisions about requests. This crate translates settings, calls and resources,
+//! and shows operators what the gateway's node has read from its directories.
 
 pub mod dialect;
 mod engines;
--- a/crates/service/src/operators/changes.rs
+++ b/crates/service/src/operators/changes.rs
@@ -1,4 +1,4 @@
-//! `PUT` and `DELETE` of resources.
+//! Handlers for `PUT` and `DELETE` of resources.
 
 use std::time::Duration;
 
@@ -18,44 +18,46 @@
 use super::resources::ResourceKind;
 use super::router::OperatorState;
 
-/// Longest wait until a change is in force, and the wait where none is asked for: the next change of an
-/// operator is made against what the node was told.
-const LONGEST_WAIT: Duration = Duration::from_secs(30);
+/// Maximum time that a call waits until its change is in force.
+const MAX_WAIT: Duration = Duration::from_secs(30);
+/// Wait of a call that does not ask for one. It is not zero because an operator bases the next change on
+/// what the node has read from its directories.
 const DEFAULT_WAIT: Duration = Duration::from_secs(5);
-/// Pause between two looks at what the node believes.
-const LOOK_PAUSE: Duration = Duration::from_millis(20);
+/// Interval at which a waiting call polls the node's state.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Query of a change.
+/// Query parameters of a change.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct ChangeQuery {
-    /// Longest wait until it is in force, in milliseconds.
+    /// Maximum wait until the change is in force, in milliseconds.
     #[serde(default)]
     wait_ms: Option<u64>,
-    /// Revision that a deletion is made against.
+    /// Revision on which a deletion is based.
     #[serde(default)]
     revision: Option<u64>,
 }
 
-/// A change that was made.
+/// Answer to a change that was made.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub(super) struct Changed {
-    /// The revision it led to.
+    /// Revision after the change.
     pub(super) revision: u64,
-    /// Whether the node works by it.
+    /// Whether the node has applied the change; `None` if the call did not wait for that.
     pub(super) in_force: Option<InForce>,
 }
 
-/// Whether a change is in force.
+/// Whether the node has applied a change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub(super) struct InForce {
     pub(super) everywhere: bool,
-    /// Nodes that don't work by it yet are not named: there is one, which answers.
+    /// Names of nodes that have not applied the change. Always empty here: the node that answers is the
+    /// only one.
     pub(super) lagging: Vec<String>,
 }
 
 impl InForce {
-    pub(super) fn is(everywhere: bool) -> Option<Self> {
+    pub(super) fn from_applied(everywhere: bool) -> Option<Self> {
         Some(Self {
             everywhere,
             lagging: Vec::new(),
@@ -66,11 +68,11 @@
 impl ChangeQuery {
     fn wait(&self) -> Duration {
         let wait = self.wait_ms.map(Duration::from_millis);
-        wait.unwrap_or(DEFAULT_WAIT).min(LONGEST_WAIT)
+        wait.unwrap_or(DEFAULT_WAIT).min(MAX_WAIT)
     }
 }
 
-/// Reads a query; its error names what is allowed.
+/// Returns the parsed query, or an error that says what is wrong with it.
 pub(super) fn read_query<T>(query: Result<Query<T>, QueryRejection>) -> Result<T, OperatorError> {
     match query {
         Ok(Query(query)) => Ok(query),
@@ -144,7 +146,7 @@
     let in_force = wait_until(wait, is_in_force).await;
     Ok(Json(Changed {
         revision: state.configuration.revision().await,
-        in_force: InForce::is(in_force),
+        in_force: InForce::from_applied(in_force),
     }))
 }
 
@@ -165,7 +167,7 @@
 }
 
 impl OperatorState {
-    /// The answer to a change of the configuration, once the node works by it or the wait is over.
+    /// Answers a change of the configuration once the node has applied it or the wait is over.
     async fn routing_changed(&self, revision: u64, wait: Duration) -> Json<Changed> {
         let is_in_force = || {
             let table = self.context.routes();
@@ -173,19 +175,19 @@
         };
         Json(Changed {
             revision,
-            in_force: InForce::is(wait_until(wait, is_in_force).await),
+            in_force: InForce::from_applied(wait_until(wait, is_in_force).await),
         })
     }
 }
 
-/// Whether something becomes so within a time.
-pub(super) async fn wait_until(wait: Duration, is_so: impl Fn() -> bool) -> bool {
-    let until = Instant::now() + wait;
-    while !is_so() {
-        if Instant::now() >= until {
+/// Polls a condition; returns whether it became true before the wait was over.
+pub(super) async fn wait_until(wait: Duration, is_met: impl Fn() -> bool) -> bool {
+    let deadline = Instant::now() + wait;
+    while !is_met() {
+        if Instant::now() >= deadline {
             return false;
         }
-        tokio::time::sleep(LOOK_PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     true
 }
--- a/crates/service/src/operators/configuration.rs
+++ b/crates/service/src/operators/configuration.rs
@@ -1,5 +1,5 @@
-//! Changes of pools and routes: each is one new configuration in the operators' directory, so that it is
-//! there whole or not at all.
+//! Changes of pools and routes. Each change writes one new configuration to the operators' directory, so
+//! that it takes effect as a whole or not at all.
 
 use std::sync::Arc;
 
@@ -16,39 +16,40 @@
 use crate::engines::{EmulatedEngines, EngineStartError};
 use crate::settings::{InvalidServeSetting, PoolSettings, RouteSettings, ServeSettings};
 
-/// Version of the configuration that the settings file describes; changes count on from it.
+/// Version of the configuration that the settings file describes; each change increments it.
 const FIRST_VERSION: u64 = 1;
 
-/// Why a change is not made. Nothing of it is kept.
+/// Why a change is rejected. The configuration stays as it was.
 #[derive(Debug, Error)]
 pub(crate) enum ChangeRefusal {
-    /// It cannot be read; the text names the key and what is wrong.
+    /// The change cannot be parsed; the text names the key and what is wrong.
     #[error("the change cannot be read: {reason}")]
     Malformed {
-        /// What is wrong.
+        /// Key and error of the parser.
         reason: String,
     },
     /// A value is not allowed.
     #[error(transparent)]
     NotAllowed(#[from] InvalidServeSetting),
-    /// The configuration is at another revision.
-    #[error("made against revision {}, found {}", revision(*.expected), revision(*.found))]
+    /// The change is based on another revision than the current one.
+    #[error("made against revision {}, found {}", revision_text(*.expected), revision_text(*.found))]
     Conflict {
-        /// The revision it was made against, `None` for a new resource.
+        /// Revision on which the change is based; `None` for a new resource.
         expected: Option<u64>,
-        /// The revision found, `None` without the resource.
+        /// Current revision; `None` if the resource does not exist.
         found: Option<u64>,
     },
-    /// Engines of a new pool cannot be started.
+    /// An emulated engine of a new pool cannot be started.
     #[error("engines of the pool cannot be started")]
     Engines(#[from] EngineStartError),
 }
 
-fn revision(number: Option<u64>) -> String {
+fn revision_text(number: Option<u64>) -> String {
     number.map_or_else(|| "none".to_owned(), |number| number.to_string())
 }
 
-/// The configuration as this process, its only writer, has written it.
+/// The current configuration. This process is the only writer of the operators' directory, so what it
+/// wrote last is what the directory holds.
 pub(crate) struct Configuration {
     store: Arc<MemoryStore>,
     engines: Arc<EmulatedEngines>,
@@ -62,8 +63,9 @@
 }
 
 impl Current {
-    /// Whether a resource is so already; else the change must be made against what is there.
-    fn is_so<T: PartialEq>(
+    /// Returns whether a resource already has the wanted value. If not, the change must be based on the
+    /// current revision.
+    fn is_unchanged<T: PartialEq>(
         &self,
         found: Option<&T>,
         wanted: &T,
@@ -72,13 +74,13 @@
         if found == Some(wanted) {
             return Ok(true);
         }
-        self.require(found.is_some(), expected)?;
+        self.check_revision(found.is_some(), expected)?;
         Ok(false)
     }
 
-    /// Checks that a change is made against what is there.
-    fn require(&self, is_there: bool, expected: Option<u64>) -> Result<(), ChangeRefusal> {
-        let found = is_there.then_some(self.version);
+    /// Checks that a change is based on the current revision, or on none if the resource does not exist.
+    fn check_revision(&self, exists: bool, expected: Option<u64>) -> Result<(), ChangeRefusal> {
+        let found = exists.then_some(self.version);
         match expected == found {
             true => Ok(()),
             false => Err(ChangeRefusal::Conflict { expected, found }),
@@ -87,7 +89,7 @@
 }
 
 impl Configuration {
-    /// Writes the configuration that the settings describe.
+    /// Writes the first configuration, which the settings describe, to the operators' directory.
     pub(crate) fn new(
         settings: ServeSettings,
         store: Arc<MemoryStore>,
@@ -95,7 +97,7 @@
         versions: Arc<NamedVersions>,
     ) -> Self {
         for pool in &settings.pools {
-            versions.serve(ModelName::from(pool.model.as_str()));
+            versions.add_model(ModelName::from(pool.model.as_str()));
         }
         let routing = DirectoryEntry::Routing(settings.routing(FIRST_VERSION));
         store.write_entry(DirectoryKind::Operators, routing);
@@ -111,7 +113,8 @@
         }
     }
 
-    /// Creates or changes a route; answers the revision. A route that is so already stays as it is.
+    /// Creates or changes a route and returns the revision. If the route already has this specification,
+    /// nothing changes.
     pub(super) async fn put_route(
         &self,
         name: &str,
@@ -122,19 +125,19 @@
         let mut current = self.current.lock().await;
         let mut settings = current.settings.clone();
         let routes = &mut settings.routes;
-        let at = routes.iter().position(|route| route.name == name);
-        if current.is_so(at.map(|at| &routes[at]), &route, expected)? {
+        let index = routes.iter().position(|route| route.name == name);
+        if current.is_unchanged(index.map(|index| &routes[index]), &route, expected)? {
             return Ok(current.version);
         }
-        match at {
-            Some(at) => routes[at] = route,
+        match index {
+            Some(index) => routes[index] = route,
             None => routes.push(route),
         }
         settings.validate()?;
         Ok(self.write(&mut current, settings))
     }
 
-    /// Deletes a route; answers the revision.
+    /// Deletes a route and returns the revision.
     pub(super) async fn delete_route(
         &self,
         name: &str,
@@ -143,15 +146,16 @@
         let mut current = self.current.lock().await;
         let mut settings = current.settings.clone();
         settings.routes.retain(|route| route.name != name);
-        let is_there = settings.routes.len() < current.settings.routes.len();
-        current.require(is_there, expected)?;
-        if !is_there {
+        let exists = settings.routes.len() < current.settings.routes.len();
+        current.check_revision(exists, expected)?;
+        if !exists {
             return Ok(current.version);
         }
         Ok(self.write(&mut current, settings))
     }
 
-    /// Creates a pool with its emulated engines, or changes the connections of one; answers the revision.
+    /// Creates a pool with its emulated engines, or changes the connection limit of an existing pool, and
+    /// returns the revision. If the pool already has this specification, nothing changes.
     pub(super) async fn put_pool(
         &self,
         name: &str,
@@ -162,27 +166,29 @@
         let mut current = self.current.lock().await;
         let mut settings = current.settings.clone();
         let pools = &mut settings.pools;
-        let at = pools.iter().position(|pool| pool.name == name);
-        if current.is_so(at.map(|at| &pools[at]), &pool, expected)? {
+        let index = pools.iter().position(|pool| pool.name == name);
+        if current.is_unchanged(index.map(|index| &pools[index]), &pool, expected)? {
             return Ok(current.version);
         }
-        match at {
-            Some(at) => {
-                require_same_engines(&pools[at], &pool)?;
-                pools[at] = pool;
+        match index {
+            Some(index) => {
+                require_same_engines(&pools[index], &pool)?;
+                pools[index] = pool;
                 settings.validate()?;
             }
             None => {
                 pools.push(pool.clone());
                 settings.validate()?;
                 self.engines.start_pool(&pool, &settings.zone).await?;
-                self.versions.serve(ModelName::from(pool.model.as_str()));
+                self.versions
+                    .add_model(ModelName::from(pool.model.as_str()));
             }
         }
         Ok(self.write(&mut current, settings))
     }
 
-    /// Deletes a pool that no route names and that has no engines; answers the revision.
+    /// Deletes a pool and returns the revision. A pool with emulated engines, or one that a route names,
+    /// cannot be deleted.
     pub(super) async fn delete_pool(
         &self,
         name: &str,
@@ -191,7 +197,7 @@
         let mut current = self.current.lock().await;
         let mut settings = current.settings.clone();
         let found = settings.pools.iter().find(|pool| pool.name == name);
-        current.require(found.is_some(), expected)?;
+        current.check_revision(found.is_some(), expected)?;
         let Some(found) = found else {
             return Ok(current.version);
         };
@@ -207,7 +213,7 @@
         Ok(self.write(&mut current, settings))
     }
 
-    /// The revision that the configuration is at.
+    /// Returns the current revision of the configuration.
     pub(super) async fn revision(&self) -> u64 {
         self.current.lock().await.version
     }
@@ -223,7 +229,8 @@
     }
 }
 
-/// Emulated engines run as they were started.
+/// Rejects a change of a pool's model or emulated engines: running engines keep the settings with which
+/// they were started.
 fn require_same_engines(
     found: &PoolSettings,
     wanted: &PoolSettings,
--- a/crates/service/src/operators/error.rs
+++ b/crates/service/src/operators/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the operators' interface.
+//! Errors of the operators' interface, and the HTTP responses that report them.
 
 use axum::Json;
 use axum::http::StatusCode;
@@ -15,47 +15,47 @@
 /// Why an operator's request is not served.
 #[derive(Debug, Error)]
 pub(crate) enum OperatorError {
-    /// There is no such kind.
+    /// The path names an unknown kind of resource.
     #[error(transparent)]
     UnknownKind(#[from] UnknownKind),
-    /// There is no such path.
+    /// The interface has no such path.
     #[error(
         "path {path}: allowed are /apis/v1/KIND, /apis/v1/KIND/NAME, /apis/v1/watch/KIND, \
          /apis/v1/explain/SUBJECT and /v1/models/MODEL/versions"
     )]
     UnknownPath {
-        /// The path.
+        /// Path of the request.
         path: String,
     },
-    /// The node knows no such resource.
+    /// The node knows no resource of that name.
     #[error("{name}: the node knows none of that name")]
     UnknownName {
-        /// The name.
+        /// Name in the request's path.
         name: String,
     },
-    /// There is no such engine in this process.
+    /// No emulated engine of this process has that name.
     #[error(transparent)]
     UnknownEngine(#[from] UnknownEngine),
-    /// Engines come and go by themselves.
+    /// Operators cannot delete engines, only drain them.
     #[error("engines are not deleted; allowed is to drain them")]
     EnginesAreNotDeleted,
-    /// A change is not made.
+    /// A change of the configuration is rejected.
     #[error(transparent)]
     Change(#[from] ChangeRefusal),
-    /// A version is not taken.
+    /// A published version is rejected.
     #[error(transparent)]
     Version(#[from] VersionRefusal),
-    /// The log cannot be read.
+    /// Reading the log failed.
     #[error("the log: {0}")]
     Log(#[from] LogError),
-    /// Nothing has been read from the directories yet.
+    /// The node has not finished its first read of a directory yet.
     #[error("the node has not read its directories yet")]
-    NothingKnown,
+    DirectoriesNotRead,
 }
 
 impl OperatorError {
-    /// Status, and a stable name for programs.
-    fn kind(&self) -> (StatusCode, &'static str) {
+    /// Returns the HTTP status and the error code of the response body.
+    fn status_and_code(&self) -> (StatusCode, &'static str) {
         match self {
             Self::UnknownKind(_) => (StatusCode::NOT_FOUND, "unknown_kind"),
             Self::UnknownPath { .. } => (StatusCode::NOT_FOUND, "unknown_path"),
@@ -75,7 +75,7 @@
             }
             Self::Version(VersionRefusal::Outdated { .. }) => (StatusCode::CONFLICT, "conflict"),
             Self::Log(_) => (StatusCode::SERVICE_UNAVAILABLE, "log_not_read"),
-            Self::NothingKnown => (StatusCode::SERVICE_UNAVAILABLE, "nothing_known"),
+            Self::DirectoriesNotRead => (StatusCode::SERVICE_UNAVAILABLE, "nothing_known"),
         }
     }
 
@@ -89,7 +89,7 @@
 
 impl IntoResponse for OperatorError {
     fn into_response(self) -> Response {
-        let (status, code) = self.kind();
+        let (status, code) = self.status_and_code();
         let mut error = json!({
             "code": code,
             "message": self.to_string(),
--- a/crates/service/src/operators/publish.rs
+++ b/crates/service/src/operators/publish.rs
@@ -15,23 +15,24 @@
 use super::manifest;
 use super::router::OperatorState;
 
-/// Longest wait until a version is in force.
-const LONGEST_WAIT: Duration = Duration::from_secs(30);
+/// Maximum time that a call waits until the version is in force.
+const MAX_WAIT: Duration = Duration::from_secs(30);
 
-/// The version.
+/// Body of a call that publishes a version.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct PublishBody {
     number: Version,
-    /// Where weights are kept; emulated engines have none to fetch.
+    /// Where the weights are stored. It is required but not used: emulated engines load no weights.
     #[serde(rename = "location")]
     _location: String,
 }
 
-/// How long to wait until it is in force.
+/// Query parameters of a call that publishes a version.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct WaitQuery {
+    /// Maximum wait until the version is in force, in milliseconds. Without it the call does not wait.
     #[serde(default)]
     wait_ms: Option<u64>,
 }
@@ -48,13 +49,13 @@
     })?;
     let PublishBody { number, .. } = manifest::read(body)?;
     let model = ModelName::from(model);
-    let revision = state.versions.name(model.clone(), number)?;
-    let is_named = || {
+    let revision = state.versions.publish(model.clone(), number)?;
+    let is_in_force = || {
         let named = state.context.named_versions().get(&model).copied();
         named.is_some_and(|named| named >= number)
     };
     let in_force = match wait_ms.map(Duration::from_millis) {
-        Some(wait) => InForce::is(wait_until(wait.min(LONGEST_WAIT), is_named).await),
+        Some(wait) => InForce::from_applied(wait_until(wait.min(MAX_WAIT), is_in_force).await),
         None => None,
     };
     Ok(Json(Changed { revision, in_force }))
--- a/crates/service/src/operators/recording_directory.rs
+++ b/crates/service/src/operators/recording_directory.rs
@@ -1,4 +1,4 @@
-//! The directories as the node has read them: every entry passes here on its way to the node.
+//! A wrapper around the node's directories that records what the node has read from them.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -10,48 +10,51 @@
 };
 use havenstage_rollout::route::RoutingConfig;
 
-/// Directories that note what they tell the node.
-pub(crate) struct KnownDirectory {
+/// Passes reads on to the directories, and records the newest configuration and the time of the last
+/// complete reads for the operators' interface.
+pub(crate) struct RecordingDirectory {
     directory: Arc<dyn Directory>,
-    told: Mutex<Told>,
+    last_read: Mutex<LastRead>,
 }
 
 #[derive(Default)]
-struct Told {
+struct LastRead {
     routing: Option<RoutingConfig>,
     operators_read_at: Option<Instant>,
     backends_read_at: Option<Instant>,
 }
 
-impl KnownDirectory {
-    /// Notes what a directory tells.
+impl RecordingDirectory {
+    /// Wraps `directory`, through which the node must make all its reads.
     pub(crate) fn new(directory: Arc<dyn Directory>) -> Self {
         Self {
             directory,
-            told: Mutex::default(),
+            last_read: Mutex::default(),
         }
     }
 
-    /// The configuration of routes that the node was told last.
+    /// Returns the configuration of pools and routes that the node read last.
     pub(crate) fn routing(&self) -> Option<RoutingConfig> {
         self.lock().routing.clone()
     }
 
-    /// Time since a read of a directory was asked that left nothing unread; `None` before the first one.
+    /// Returns the time since the start of the last read that left nothing unread in a directory; `None`
+    /// before the first such read.
     pub(crate) fn age(&self, kind: DirectoryKind) -> Option<Duration> {
-        let told = self.lock();
+        let last_read = self.lock();
         let read_at = match kind {
-            DirectoryKind::Operators => told.operators_read_at,
-            DirectoryKind::Backends => told.backends_read_at,
+            DirectoryKind::Operators => last_read.operators_read_at,
+            DirectoryKind::Backends => last_read.backends_read_at,
         };
         Some(read_at?.elapsed())
     }
 
-    fn lock(&self) -> MutexGuard<'_, Told> {
-        self.told.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, LastRead> {
+        let last_read = self.last_read.lock();
+        last_read.unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn note_entries(&self, entries: &[DirectoryEntry]) {
+    fn record_entries(&self, entries: &[DirectoryEntry]) {
         let newest = entries.iter().rev().find_map(|entry| match entry {
             DirectoryEntry::Routing(config) => Some(config),
             _ => None,
@@ -61,27 +64,27 @@
         }
     }
 
-    fn note_read(&self, kind: DirectoryKind, asked_at: Instant) {
-        let mut told = self.lock();
+    fn record_complete_read(&self, kind: DirectoryKind, started_at: Instant) {
+        let mut last_read = self.lock();
         match kind {
-            DirectoryKind::Operators => told.operators_read_at = Some(asked_at),
-            DirectoryKind::Backends => told.backends_read_at = Some(asked_at),
+            DirectoryKind::Operators => last_read.operators_read_at = Some(started_at),
+            DirectoryKind::Backends => last_read.backends_read_at = Some(started_at),
         }
     }
 }
 
 #[async_trait]
-impl Directory for KnownDirectory {
+impl Directory for RecordingDirectory {
     async fn list(
         &self,
         kind: DirectoryKind,
         after: Option<&str>,
     ) -> Result<ListingPage, LogError> {
-        let asked_at = Instant::now();
+        let started_at = Instant::now();
         let page = self.directory.list(kind, after).await?;
-        self.note_entries(&page.entries);
+        self.record_entries(&page.entries);
         if page.more.is_none() {
-            self.note_read(kind, asked_at);
+            self.record_complete_read(kind, started_at);
         }
         Ok(page)
     }
@@ -91,13 +94,13 @@
         kind: DirectoryKind,
         from: u64,
         wait: Duration,
-        most_bytes: u32,
+        max_bytes: u32,
     ) -> Result<DirectoryPage, LogError> {
-        let asked_at = Instant::now();
-        let page = self.directory.changes(kind, from, wait, most_bytes).await?;
-        self.note_entries(&page.entries);
+        let started_at = Instant::now();
+        let page = self.directory.changes(kind, from, wait, max_bytes).await?;
+        self.record_entries(&page.entries);
         if page.remaining == 0 {
-            self.note_read(kind, asked_at);
+            self.record_complete_read(kind, started_at);
         }
         Ok(page)
     }
--- a/crates/service/src/operators/resources.rs
+++ b/crates/service/src/operators/resources.rs
@@ -1,4 +1,4 @@
-//! Resources as operators read them.
+//! JSON documents in which operators read resources.
 
 use std::fmt;
 use std::str::FromStr;
@@ -10,15 +10,15 @@
 use serde_json::{Value, json};
 use thiserror::Error;
 
-/// Kinds of resources, named in the plural as in paths.
+/// Kinds of resources. Paths and documents name them in the plural.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ResourceKind {
     /// Pools of engines.
     Pools,
-    /// Routes of callers and trainers.
+    /// Routes for the requests of callers and trainers.
     Routes,
-    /// Engines.
+    /// Engines in the directory of back ends.
     Engines,
 }
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// There is no such kind.
+/// The text names no kind of resource.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("kind {0}: allowed are pools, routes and engines")]
 pub struct UnknownKind(pub String);
@@ -53,35 +53,36 @@
 /// A resource as the node knows it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct KnownResource {
-    /// Its name.
+    /// Name of the resource.
     pub name: String,
-    /// Version of the configuration that it stands in, where it is a part of one.
+    /// Version of the configuration that contains the resource; `None` for an engine, which is not part of
+    /// the configuration.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub revision: Option<u64>,
-    /// What is known of it.
+    /// Specification and state of the resource, with fields that depend on its kind.
     pub spec: Value,
 }
 
 /// All resources of a kind.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct KnownResources {
-    /// The resources.
+    /// The resources that the node knows.
     pub items: Vec<KnownResource>,
-    /// Milliseconds since the node asked for them and nothing was left unread.
+    /// Age of this knowledge: milliseconds since the start of the node's last read that left nothing unread.
     pub age_ms: u64,
 }
 
-/// The resources of a kind after a change, or unchanged when the wait ended first.
+/// Answer to a watch: the resources of a kind after a change, or unchanged if the wait ended first.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WatchAnswer {
-    /// What to ask with next.
+    /// Digest of the resources, which the next watch passes as `seen`.
     pub state: u64,
-    /// The resources.
+    /// The resources and their age.
     #[serde(flatten)]
     pub known: KnownResources,
 }
 
-/// The pools of a configuration, with what the node knows of their engines.
+/// Returns the pools of a configuration, with the number of their engines that the node knows.
 pub(super) fn pools(config: &RoutingConfig, context: &Context) -> Vec<KnownResource> {
     let pools = config.pools.iter();
     let known = pools.map(|pool| KnownResource {
@@ -108,7 +109,7 @@
     })
 }
 
-/// The routes of a configuration, by host.
+/// Returns the routes of a configuration; a route appears once for each host.
 pub(super) fn routes(config: &RoutingConfig) -> Vec<KnownResource> {
     let routes = config.routes.iter();
     let known = routes.map(|route| KnownResource {
@@ -143,7 +144,7 @@
     }
 }
 
-/// The engines that the node knows.
+/// Returns the engines that the node knows.
 pub(super) fn engines(context: &Context) -> Vec<KnownResource> {
     let backends = context.backends.lock();
     let listed = backends.list.all();
--- a/crates/service/src/operators/router.rs
+++ b/crates/service/src/operators/router.rs
@@ -1,4 +1,4 @@
-//! The routes of operators, and what they read.
+//! HTTP routes of the operators' interface, and the handlers that read resources.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::Arc;
@@ -18,35 +18,38 @@
 use super::configuration::Configuration;
 use super::error::OperatorError;
 use super::explain::explain;
-use super::known::KnownDirectory;
 use super::publish::publish;
+use super::recording_directory::RecordingDirectory;
 use super::resources::{self, KnownResources, ResourceKind, WatchAnswer};
 use super::versions::NamedVersions;
 use crate::engines::EmulatedEngines;
 use crate::explain::DecisionRecords;
 
-/// Longest wait of a watch.
-const LONGEST_WATCH: Duration = Duration::from_secs(30);
-/// Pause between two looks of a watch.
-const WATCH_PAUSE: Duration = Duration::from_millis(100);
+/// Maximum time that a watch waits for a change.
+const MAX_WATCH_WAIT: Duration = Duration::from_secs(30);
+/// Interval at which a watch polls the resources.
+const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What operators are answered from, and what they change.
+/// State that the handlers of the operators' interface share.
 #[derive(Clone)]
 pub(crate) struct OperatorState {
     pub(crate) context: Arc<Context>,
-    pub(crate) directory: Arc<KnownDirectory>,
+    pub(crate) directory: Arc<RecordingDirectory>,
     pub(crate) configuration: Arc<Configuration>,
     pub(crate) engines: Arc<EmulatedEngines>,
     pub(crate) versions: Arc<NamedVersions>,
     pub(crate) records: Arc<DecisionRecords>,
 }
 
-/// The interface for operators.
+/// Builds the router of the operators' interface.
 pub(crate) fn router(state: OperatorState) -> Router {
     Router::new()
         .route("/apis/v1/{kind}", get(list))
         .route("/apis/v1/watch/{kind}", get(watch))
-        .route("/apis/v1/{kind}/{name}", get(one).put(put).delete(delete))
+        .route(
+            "/apis/v1/{kind}/{name}",
+            get(get_one).put(put).delete(delete),
+        )
         .route("/apis/v1/explain/{*subject}", get(explain))
         .route("/v1/models/{model}/versions", post(publish))
         .fallback(unknown_path)
@@ -57,14 +60,14 @@
     State(state): State<OperatorState>,
     Path(kind): Path<String>,
 ) -> Result<Json<KnownResources>, OperatorError> {
-    Ok(Json(state.known(kind.parse()?)?))
+    Ok(Json(state.known_resources(kind.parse()?)?))
 }
 
-async fn one(
+async fn get_one(
     State(state): State<OperatorState>,
     Path((kind, name)): Path<(String, String)>,
 ) -> Result<Json<KnownResources>, OperatorError> {
-    let mut known = state.known(kind.parse()?)?;
+    let mut known = state.known_resources(kind.parse()?)?;
     known.items.retain(|item| item.name == name);
     match known.items.is_empty() {
         true => Err(OperatorError::UnknownName { name }),
@@ -72,19 +75,19 @@
     }
 }
 
-/// Query of a watch.
+/// Query parameters of a watch.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct WatchQuery {
-    /// `state` of the answer before; absent to be answered at once.
+    /// `state` of the previous answer. Without it the watch answers at once.
     #[serde(default)]
     seen: Option<u64>,
-    /// Longest wait in milliseconds.
+    /// Maximum wait in milliseconds.
     #[serde(default)]
     wait_ms: Option<u64>,
 }
 
-/// Answers once the resources differ from those that were seen, or the wait is over.
+/// Answers once the resources differ from those of the previous answer, or the wait is over.
 async fn watch(
     State(state): State<OperatorState>,
     Path(kind): Path<String>,
@@ -92,23 +95,24 @@
 ) -> Result<Json<WatchAnswer>, OperatorError> {
     let query = read_query(query)?;
     let kind = kind.parse()?;
-    let wait = query.wait_ms.map_or(LONGEST_WATCH, Duration::from_millis);
-    let until = Instant::now() + wait.min(LONGEST_WATCH);
+    let wait = query.wait_ms.map_or(MAX_WATCH_WAIT, Duration::from_millis);
+    let deadline = Instant::now() + wait.min(MAX_WATCH_WAIT);
     loop {
-        let known = state.known(kind)?;
-        let digest = digest(&known);
-        if query.seen != Some(digest) || Instant::now() >= until {
+        let known = state.known_resources(kind)?;
+        let digest = compute_digest(&known);
+        if query.seen != Some(digest) || Instant::now() >= deadline {
             return Ok(Json(WatchAnswer {
                 state: digest,
                 known,
             }));
         }
-        tokio::time::sleep(WATCH_PAUSE).await;
+        tokio::time::sleep(WATCH_POLL_INTERVAL).await;
     }
 }
 
-/// Differs where resources differ; their age is no change.
-fn digest(known: &KnownResources) -> u64 {
+/// Computes a digest of the resources. Their age is left out, so that a watch does not answer when only the
+/// age has changed.
+fn compute_digest(known: &KnownResources) -> u64 {
     let mut hasher = DefaultHasher::new();
     for item in &known.items {
         item.name.hash(&mut hasher);
@@ -119,10 +123,11 @@
 }
 
 impl OperatorState {
-    /// What the node knows of a kind, and how old that is.
-    fn known(&self, kind: ResourceKind) -> Result<KnownResources, OperatorError> {
+    /// Returns the resources of a kind that the node knows, with the age of this knowledge. Fails until the
+    /// node has read its directories.
+    fn known_resources(&self, kind: ResourceKind) -> Result<KnownResources, OperatorError> {
         let config = self.directory.routing();
-        let config = config.ok_or(OperatorError::NothingKnown)?;
+        let config = config.ok_or(OperatorError::DirectoriesNotRead)?;
         let (items, age) = match kind {
             ResourceKind::Pools => (resources::pools(&config, &self.context), self.oldest_age()),
             ResourceKind::Routes => (
@@ -134,14 +139,14 @@
                 self.directory.age(DirectoryKind::Backends),
             ),
         };
-        let age = age.ok_or(OperatorError::NothingKnown)?;
+        let age = age.ok_or(OperatorError::DirectoriesNotRead)?;
         Ok(KnownResources {
             items,
             age_ms: age.as_millis() as u64,
         })
     }
 
-    /// The age of what is known of both directories; a pool is told from both.
+    /// Returns the higher age of the two directories; the description of a pool uses both.
     fn oldest_age(&self) -> Option<Duration> {
         let operators = self.directory.age(DirectoryKind::Operators)?;
         let backends = self.directory.age(DirectoryKind::Backends)?;
--- a/crates/service/src/operators/versions.rs
+++ b/crates/service/src/operators/versions.rs
@@ -1,4 +1,4 @@
-//! Versions of models that trainers and operators name.
+//! Weight versions of models that trainers and operators publish.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -9,45 +9,46 @@
 use log::info;
 use thiserror::Error;
 
-/// Why a version is not taken.
+/// Why a published version is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub(crate) enum VersionRefusal {
     /// No pool serves the model.
     #[error("model {model}: allowed are {}", known.join(", "))]
     UnknownModel {
-        /// The model.
+        /// Model in the request's path.
         model: ModelName,
-        /// Models that are served.
+        /// Models that pools serve.
         known: Vec<String>,
     },
-    /// A newer version was named before.
+    /// A newer version of the model has been published before.
     #[error("version {version} of {model}: allowed are versions from {newest} on")]
     Outdated {
-        /// The model.
+        /// Name of the model.
         model: ModelName,
-        /// The version.
+        /// Version that is rejected.
         version: Version,
-        /// The newest one.
+        /// Newest version that has been published.
         newest: Version,
     },
 }
 
-/// Writes named versions into the operators' directory.
+/// Writes published versions into the operators' directory.
 pub(crate) struct NamedVersions {
     store: Arc<MemoryStore>,
-    /// The newest one of each model that is served, and where it stands in the directory. This process is
-    /// the directory's only writer.
-    newest: Mutex<BTreeMap<ModelName, Option<Named>>>,
+    /// Newest published version of each model that a pool serves, `None` before the first one. This map
+    /// agrees with the directory because this process is the directory's only writer.
+    newest: Mutex<BTreeMap<ModelName, Option<PublishedVersion>>>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Named {
+struct PublishedVersion {
     version: Version,
+    /// Revision of its entry in the directory.
     revision: u64,
 }
 
 impl NamedVersions {
-    /// No models yet.
+    /// Creates the writer without any models.
     pub(crate) fn new(store: Arc<MemoryStore>) -> Self {
         Self {
             store,
@@ -55,29 +56,34 @@
         }
     }
 
-    /// A pool serves a model from now on.
-    pub(crate) fn serve(&self, model: ModelName) {
+    /// Adds a model that a pool serves, so that its versions can be published.
+    pub(crate) fn add_model(&self, model: ModelName) {
         let mut newest = self.newest.lock().unwrap_or_else(PoisonError::into_inner);
         newest.entry(model).or_insert(None);
     }
 
-    /// Names a version; answers the revision. Repeating the newest one changes nothing.
-    pub(crate) fn name(&self, model: ModelName, version: Version) -> Result<u64, VersionRefusal> {
+    /// Publishes a version of a model and returns the revision of its directory entry. Publishing the newest
+    /// version again changes nothing.
+    pub(crate) fn publish(
+        &self,
+        model: ModelName,
+        version: Version,
+    ) -> Result<u64, VersionRefusal> {
         let mut newest = self.newest.lock().unwrap_or_else(PoisonError::into_inner);
         let known = || newest.keys().map(ModelName::to_string).collect();
-        let Some(former) = newest.get(&model).copied() else {
+        let Some(previous) = newest.get(&model).copied() else {
             return Err(VersionRefusal::UnknownModel {
                 known: known(),
                 model,
             });
         };
-        match former {
-            Some(named) if named.version == version => return Ok(named.revision),
-            Some(named) if named.version > version => {
+        match previous {
+            Some(published) if published.version == version => return Ok(published.revision),
+            Some(published) if published.version > version => {
                 return Err(VersionRefusal::Outdated {
                     model,
                     version,
-                    newest: named.version,
+                    newest: published.version,
                 });
             }
             _ => {}
@@ -86,11 +92,11 @@
             model: model.clone(),
             version,
         };
-        // Written under the lock, so that the directory tells versions in rising order.
+        // The entry is written under the lock, so that the directory lists versions in ascending order.
         let revision = self.store.write_entry(DirectoryKind::Operators, entry);
         info!(event = "version_published", model = model.as_str(), version = version,
             revision = revision; "");
-        newest.insert(model, Some(Named { version, revision }));
+        newest.insert(model, Some(PublishedVersion { version, revision }));
         Ok(revision)
     }
 }
--- a/crates/service/src/serve.rs
+++ b/crates/service/src/serve.rs
@@ -1,4 +1,4 @@
-//! Puts the service together, runs it, and stops it in order.
+//! Assembles the service, runs it, and shuts it down gracefully.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,14 +16,14 @@
 use crate::dialect::HavenstageDialect;
 use crate::engines::{EmulatedEngines, EngineStartError};
 use crate::explain::DecisionRecords;
-use crate::operators::{Configuration, KnownDirectory, NamedVersions, OperatorState, router};
+use crate::operators::{Configuration, NamedVersions, OperatorState, RecordingDirectory, router};
 use crate::settings::ServeSettings;
 
-/// The service cannot run.
+/// Why the service cannot run.
 #[derive(Debug, Error)]
 pub enum ServeError {
-    /// The store refused its bounds.
-    #[error("store")]
+    /// The store in memory rejected its settings.
+    #[error("the store in memory cannot be created")]
     Store(#[from] InvalidStoreSetting),
     /// An emulated engine cannot be started.
     #[error(transparent)]
@@ -34,17 +34,17 @@
     /// The operators' address cannot be listened on.
     #[error("operators' address {address} cannot be listened on")]
     Operators {
-        /// The address.
+        /// Address from the settings.
         address: SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// Signals cannot be received.
-    #[error("signals cannot be received")]
+    /// The handler of a stop signal cannot be installed.
+    #[error("handlers for SIGTERM and SIGINT cannot be installed")]
     Signals(#[source] io::Error),
 }
 
-/// A service at work.
+/// A running service.
 pub struct RunningService {
     node: RunningNode,
     operators: SocketAddr,
@@ -52,17 +52,17 @@
 }
 
 impl RunningService {
-    /// Where callers and trainers are served.
+    /// Returns the address on which callers and trainers are served.
     pub fn callers_address(&self) -> SocketAddr {
         self.node.callers_address()
     }
 
-    /// Where operators are served.
+    /// Returns the address on which operators are served.
     pub fn operators_address(&self) -> SocketAddr {
         self.operators
     }
 
-    /// Lets the work come to its end, then ends the service; operators are answered until then.
+    /// Stops the node, which first finishes its work, and then the operators' interface.
     pub async fn stop(mut self) {
         self.node.stop().await;
         self.tasks.shutdown().await;
@@ -74,7 +74,8 @@
     settings: &ServeSettings,
     records: Arc<DecisionRecords>,
 ) -> Result<(), ServeError> {
-    // Before anything is served, so that no signal finds the default action, which kills.
+    // The handlers are installed before anything is served: until then a signal has its default action,
+    // which kills the process.
     let mut terminate = listen_for(SignalKind::terminate())?;
     let mut interrupt = listen_for(SignalKind::interrupt())?;
     let service = start(settings, records).await?;
@@ -90,8 +91,8 @@
     signal(kind).map_err(ServeError::Signals)
 }
 
-/// Starts the service; `settings` have passed their checks, and `records` are those that the process's log
-/// keeps (`explain::RecordingWriter`).
+/// Starts the service. `settings` must be valid (`ServeSettings::validate`), and `records` must be the
+/// store to which the process's log writes decisions (`explain::RecordingWriter`).
 pub async fn start(
     settings: &ServeSettings,
     records: Arc<DecisionRecords>,
@@ -112,7 +113,7 @@
         engines.clone(),
         versions.clone(),
     );
-    let directory = Arc::new(KnownDirectory::new(store.clone()));
+    let directory = Arc::new(RecordingDirectory::new(store.clone()));
     let dependencies = NodeDependencies {
         log: store.clone(),
         checkpoints: store,
