--- a/crates/service/src/settings/check.rs
+++ b/crates/service/src/settings/check.rs
@@ -1,4 +1,4 @@
-//! Checks of values against what is allowed.
+//! Validation of the settings' values.
 
 use std::collections::BTreeSet;
 use std::fmt::Display;
@@ -7,20 +7,20 @@
 
 use super::{PoolSettings, RouteSettings, ServeSettings};
 
-/// Most emulated engines of a pool: each is a server of its own in this process.
-const MOST_EMULATED_ENGINES: u32 = 64;
-/// Longest time to stop, and longest retention, in seconds.
-const MOST_SECONDS: f64 = 86_400.0;
+/// Maximum number of emulated engines in a pool. Each one is a separate HTTP server in this process.
+const MAX_EMULATED_ENGINES: u32 = 64;
+/// Upper bound of `stop_grace_s` and `store.retention_s`, in seconds.
+const MAX_DURATION_S: f64 = 86_400.0;
 
 /// A value that is not allowed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("key {key} is {value}, allowed: {allowed}")]
 pub struct InvalidServeSetting {
-    /// Path of the key.
+    /// Path of the key in the settings, for example `pools[0].name`.
     pub key: String,
-    /// The value.
+    /// The value that was given.
     pub value: String,
-    /// What is allowed.
+    /// Description of the allowed values.
     pub allowed: String,
 }
 
@@ -41,51 +41,52 @@
 }
 
 fn is_name(text: &str) -> bool {
-    let fits = |byte: u8| byte.is_ascii_alphanumeric() || b"-._".contains(&byte);
-    !text.is_empty() && text.bytes().all(fits)
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-._".contains(&byte);
+    !text.is_empty() && text.bytes().all(is_allowed)
 }
 
-const NAME: &str = "letters, digits and -._, at least one";
+/// Description of the texts that [`is_name`] allows.
+const ALLOWED_NAMES: &str = "letters, digits and -._, at least one";
 
 impl ServeSettings {
-    /// Checks every value against what is allowed.
+    /// Checks every value; the error names the first key whose value is not allowed.
     pub fn validate(&self) -> Result<(), InvalidServeSetting> {
-        require(is_name(&self.node), "node", &self.node, NAME)?;
-        require(is_name(&self.zone), "zone", &self.zone, NAME)?;
+        require(is_name(&self.node), "node", &self.node, ALLOWED_NAMES)?;
+        require(is_name(&self.zone), "zone", &self.zone, ALLOWED_NAMES)?;
         require(
             !self.hosts.is_empty(),
             "hosts",
             "empty",
             "at least one host",
         )?;
-        self.check_seconds()?;
+        self.check_durations()?;
         let lines = self.log_lines_per_s;
         require(lines > 0, "log_lines_per_s", lines, "at least 1")?;
-        let most_mb = self.store.most_mb;
-        require(most_mb > 0, "store.most_mb", most_mb, "at least 1")?;
+        let max_mb = self.store.most_mb;
+        require(max_mb > 0, "store.most_mb", max_mb, "at least 1")?;
         let pools = self.check_pools()?;
         self.check_routes(&pools)
     }
 
-    fn check_seconds(&self) -> Result<(), InvalidServeSetting> {
-        let seconds = [
+    fn check_durations(&self) -> Result<(), InvalidServeSetting> {
+        let durations = [
             ("stop_grace_s", self.stop_grace_s),
             ("store.retention_s", self.store.retention_s),
         ];
-        for (key, value) in seconds {
-            let is_allowed = (1.0..=MOST_SECONDS).contains(&value);
-            require(is_allowed, key, value, format!("1 to {MOST_SECONDS}"))?;
+        for (key, value) in durations {
+            let is_allowed = (1.0..=MAX_DURATION_S).contains(&value);
+            require(is_allowed, key, value, format!("1 to {MAX_DURATION_S}"))?;
         }
         Ok(())
     }
 
     fn check_pools(&self) -> Result<BTreeSet<&str>, InvalidServeSetting> {
         let mut names = BTreeSet::new();
-        for (at, pool) in self.pools.iter().enumerate() {
-            let is_new = names.insert(pool.name.as_str());
-            let key = format!("pools[{at}].name");
-            require(is_new, key, &pool.name, "a name that no other pool has")?;
-            pool.check(at)?;
+        for (index, pool) in self.pools.iter().enumerate() {
+            let is_unique = names.insert(pool.name.as_str());
+            let key = format!("pools[{index}].name");
+            require(is_unique, key, &pool.name, "a name that no other pool has")?;
+            pool.check(index)?;
         }
         Ok(names)
     }
@@ -93,25 +94,32 @@
     fn check_routes(&self, pools: &BTreeSet<&str>) -> Result<(), InvalidServeSetting> {
         let mut names = BTreeSet::new();
         let mut prefixes = BTreeSet::new();
-        for (at, route) in self.routes.iter().enumerate() {
-            let is_new = names.insert(route.name.as_str());
+        for (index, route) in self.routes.iter().enumerate() {
+            let has_unique_name = names.insert(route.name.as_str());
             let prefix = &route.path_prefix;
-            let is_other = prefixes.insert(prefix.as_str());
-            let key = format!("routes[{at}].path_prefix");
-            require(is_other, key, prefix, "a prefix that no other route has")?;
-            let key = format!("routes[{at}].name");
-            require(is_new, key, &route.name, "a name that no other route has")?;
-            route.check(at, pools)?;
+            let has_unique_prefix = prefixes.insert(prefix.as_str());
+            let key = format!("routes[{index}].path_prefix");
+            let allowed = "a prefix that no other route has";
+            require(has_unique_prefix, key, prefix, allowed)?;
+            let key = format!("routes[{index}].name");
+            let allowed = "a name that no other route has";
+            require(has_unique_name, key, &route.name, allowed)?;
+            route.check(index, pools)?;
         }
         Ok(())
     }
 }
 
 impl PoolSettings {
-    fn check(&self, at: usize) -> Result<(), InvalidServeSetting> {
-        let key = |field: &str| format!("pools[{at}].{field}");
-        require(is_name(&self.name), key("name"), &self.name, NAME)?;
-        require(is_name(&self.model), key("model"), &self.model, NAME)?;
+    fn check(&self, index: usize) -> Result<(), InvalidServeSetting> {
+        let key = |field: &str| format!("pools[{index}].{field}");
+        require(is_name(&self.name), key("name"), &self.name, ALLOWED_NAMES)?;
+        require(
+            is_name(&self.model),
+            key("model"),
+            &self.model,
+            ALLOWED_NAMES,
+        )?;
         let connections = self.connections;
         require(
             connections > 0,
@@ -120,15 +128,15 @@
             "at least 1",
         )?;
         let engines = self.emulated_engines;
-        let allowed = format!("0 to {MOST_EMULATED_ENGINES}");
-        let fits = engines <= MOST_EMULATED_ENGINES;
-        require(fits, key("emulated_engines"), engines, allowed)?;
+        let allowed = format!("0 to {MAX_EMULATED_ENGINES}");
+        let is_allowed = engines <= MAX_EMULATED_ENGINES;
+        require(is_allowed, key("emulated_engines"), engines, allowed)?;
         let tokens = self.engine.tokens_per_chunk;
-        let key_of_tokens = key("engine.tokens_per_chunk");
-        require(tokens == 1, key_of_tokens, tokens, "1: an event is a token")?;
+        let tokens_key = key("engine.tokens_per_chunk");
+        require(tokens == 1, tokens_key, tokens, "1: an event is a token")?;
         let training_tokens = self.engine.training_tokens_per_chunk.unwrap_or(1);
-        let key_of_tokens = key("engine.training_tokens_per_chunk");
-        require(training_tokens == 1, key_of_tokens, training_tokens, "1")?;
+        let tokens_key = key("engine.training_tokens_per_chunk");
+        require(training_tokens == 1, tokens_key, training_tokens, "1")?;
         self.engine.validate().map_err(|error| InvalidServeSetting {
             key: key("engine"),
             value: "not usable".to_owned(),
@@ -138,9 +146,9 @@
 }
 
 impl RouteSettings {
-    fn check(&self, at: usize, pools: &BTreeSet<&str>) -> Result<(), InvalidServeSetting> {
-        let key = |field: &str| format!("routes[{at}].{field}");
-        require(is_name(&self.name), key("name"), &self.name, NAME)?;
+    fn check(&self, index: usize, pools: &BTreeSet<&str>) -> Result<(), InvalidServeSetting> {
+        let key = |field: &str| format!("routes[{index}].{field}");
+        require(is_name(&self.name), key("name"), &self.name, ALLOWED_NAMES)?;
         let prefix = &self.path_prefix;
         let is_prefix = prefix.starts_with('/') && prefix.ends_with('/');
         let allowed = "a path that starts and ends with a slash";
@@ -159,8 +167,8 @@
             "empty",
             "at least one pool",
         )?;
-        for (index, share) in self.pools.iter().enumerate() {
-            let key = |field: &str| format!("routes[{at}].pools[{index}].{field}");
+        for (pool_index, share) in self.pools.iter().enumerate() {
+            let key = |field: &str| format!("routes[{index}].pools[{pool_index}].{field}");
             let is_known = pools.contains(share.pool.as_str());
             let known: Vec<&str> = pools.iter().copied().collect();
             let allowed = format!("one of the pools {}", known.join(", "));
--- a/crates/service/src/settings/deployment.rs
+++ b/crates/service/src/settings/deployment.rs
@@ -1,4 +1,4 @@
-//! The configuration of routes and pools that the settings describe.
+//! Converts the settings to the gateway's configuration of routes and pools.
 
 use havenstage_rollout::ids::{ModelName, PoolName};
 use havenstage_rollout::residency::Residency;
@@ -8,9 +8,10 @@
 
 use super::{PoolSettings, RouteKind, RouteSettings, ServeSettings};
 
-/// Time after which an item of a batch may be given up, in milliseconds: as long as a step may take.
+/// Time after which an item of a batch may be given up, in milliseconds: the maximum duration of a training
+/// step.
 const GIVE_UP_AFTER_MS: u64 = 26 * 60 * 1_000;
-/// Each event of an emulated engine holds one token.
+/// Number of tokens in one event of an emulated engine's stream.
 const TOKENS_PER_EVENT: u32 = 1;
 
 impl RouteKind {
@@ -25,16 +26,16 @@
 }
 
 impl ServeSettings {
-    /// The configuration; `version` rises with each change.
+    /// Returns the configuration, with each route at each host. `version` must increase with each change.
     pub fn routing(&self, version: u64) -> RoutingConfig {
         let routes = self.hosts.iter().flat_map(|host| {
             let routes = self.routes.iter();
-            routes.map(move |route| route.at_host(host))
+            routes.map(move |route| route.to_route(host))
         });
         RoutingConfig {
             version,
             routes: routes.collect(),
-            pools: self.pools.iter().map(PoolSettings::pool).collect(),
+            pools: self.pools.iter().map(PoolSettings::to_pool).collect(),
             limits: CallerLimits::default(),
             tenants: Vec::new(),
         }
@@ -42,7 +43,7 @@
 }
 
 impl PoolSettings {
-    fn pool(&self) -> Pool {
+    fn to_pool(&self) -> Pool {
         Pool {
             name: PoolName::from(self.name.as_str()),
             connections: self.connections,
@@ -56,7 +57,7 @@
 }
 
 impl RouteSettings {
-    fn at_host(&self, host: &str) -> Route {
+    fn to_route(&self, host: &str) -> Route {
         let pools = self.pools.iter().map(|share| WeightedPool {
             pool: PoolName::from(share.pool.as_str()),
             weight: share.weight,
--- a/crates/service/src/settings/file.rs
+++ b/crates/service/src/settings/file.rs
@@ -1,4 +1,4 @@
-//! Reading a TOML file into typed settings, with errors that name file, key and value.
+//! Reads a TOML file into typed settings, with errors that name the file, the key and the value.
 
 use std::path::{Path, PathBuf};
 
@@ -7,54 +7,54 @@
 
 use super::{InvalidServeSetting, ServeSettings};
 
-/// A settings file that cannot be read.
+/// Why a settings file cannot be read or parsed.
 #[derive(Debug, Error)]
 pub enum SettingsFileError {
     /// The file could not be read.
     #[error("{}: cannot be read", file.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
     /// The file is not TOML.
     #[error("{}: not TOML: {reason}", file.display())]
     NotToml {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// What the parser said, with the line.
+        /// Error of the parser, with the line.
         reason: String,
     },
-    /// A key is unknown, or its value is of the wrong kind.
+    /// A key is unknown or missing, or its value has the wrong type.
     #[error("{}: key {key}: {reason}", file.display())]
     WrongKey {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// Path of the key.
+        /// Path of the key within the file.
         key: String,
-        /// What the parser said, with the value and what is allowed.
+        /// Error of the parser, with the value and what is allowed.
         reason: String,
     },
 }
 
-/// Settings of `serve` that cannot be used.
+/// Why the settings of `serve` cannot be used.
 #[derive(Debug, Error)]
 pub enum ServeSettingsError {
-    /// The file cannot be read.
+    /// The file cannot be read or parsed.
     #[error(transparent)]
     File(#[from] SettingsFileError),
-    /// A value is not allowed.
+    /// A value is not allowed. The message names the file, and its source names the key and the value.
     #[error("{}", file.display())]
     NotAllowed {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// The value, and what is allowed.
+        /// Key, value and what is allowed.
         source: InvalidServeSetting,
     },
 }
 
-/// Reads a file of any settings; nothing but the types of the values is checked.
+/// Reads a file into settings of any type. Only the keys and the types of the values are checked.
 pub fn read_file<T: DeserializeOwned>(file: &Path) -> Result<T, SettingsFileError> {
     let text = std::fs::read_to_string(file).map_err(|source| SettingsFileError::Unreadable {
         file: file.to_owned(),
@@ -72,7 +72,7 @@
     })
 }
 
-/// Reads and checks the settings of `serve`.
+/// Reads and validates the settings of `serve`.
 pub fn read(file: &Path) -> Result<ServeSettings, ServeSettingsError> {
     let settings: ServeSettings = read_file(file)?;
     let checked = settings.validate();
--- a/crates/service/src/settings/gateway.rs
+++ b/crates/service/src/settings/gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway's and the store's settings that follow from those of `serve`.
+//! Converts the settings of `serve` to those of the gateway and of the store in memory.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -12,28 +12,33 @@
 use super::ServeSettings;
 
 const BYTES_PER_MB: usize = 1_000_000;
-/// Time for which the store keeps records beyond that for which nodes keep batches: a batch is
-/// counted from its last record.
+/// Time for which the store keeps records in addition to the time for which nodes keep batches. The margin
+/// is needed because the retention of a batch starts at its last record.
 const STORE_MARGIN: Duration = Duration::from_secs(60);
-/// Calls a second and megabytes a second that a store in the process bears.
+/// Number of reads per second that the store in memory can serve.
 const STORE_READS_PER_S: u32 = 10_000;
+/// Read throughput of the store in memory, in megabytes per second.
 const STORE_READ_MB_PER_S: f64 = 1_000.0;
-/// Partitions of each stream, and streams of batches: batches open at once mostly lie apart.
+/// Number of partitions of each stream.
 const PARTITIONS: u32 = 4;
+/// Number of streams over whose partitions batches are spread, so that batches that are open at the same
+/// time rarely share a partition.
 const BATCH_STREAMS: u32 = 8;
-/// Most bytes of a record, and of a call of the store.
+/// Maximum size of a record, in bytes.
 const RECORD_BYTES: usize = 64 * 1024;
+/// Maximum size of a call to the store, in bytes.
 const CALL_BYTES: usize = 1024 * 1024;
-/// Megabytes of the process besides the store.
+/// Memory of the process without the store, in megabytes.
 const PROCESS_MB: u32 = 256;
-/// Milliseconds between the orders of two holders, and after a thaw without orders.
+/// Milliseconds between the last order of one holder of the order lease and the first of the next.
 const ORDER_LEASE_MS: u64 = 1_000;
+/// Milliseconds for which a node sends no orders after its process was suspended.
 const ORDER_THAW_MS: u64 = 100;
-/// Milliseconds after which an acknowledged end of a batch is in force.
+/// Milliseconds after the end of a batch was acknowledged from which none of its items may reach an engine.
 const END_IN_FORCE_MS: u64 = 3_000;
 
 impl ServeSettings {
-    /// The gateway's settings.
+    /// Returns the settings of the gateway.
     pub fn gateway(&self) -> Settings {
         Settings {
             node: self.node.clone(),
@@ -49,7 +54,7 @@
                 datagrams: None,
             },
             log: LogSettings {
-                // The store in the process has no address.
+                // The gateway needs an address here, but the store in memory has none and ignores it.
                 address: SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0),
                 partitions: PARTITIONS,
                 batch_streams: BATCH_STREAMS,
@@ -75,7 +80,7 @@
         }
     }
 
-    /// The store's settings.
+    /// Returns the settings of the store in memory.
     pub fn memory_store(&self) -> MemoryStoreSettings {
         MemoryStoreSettings {
             retention: Duration::from_secs_f64(self.store.retention_s) + STORE_MARGIN,
--- a/crates/service/src/settings/mod.rs
+++ b/crates/service/src/settings/mod.rs
@@ -1,5 +1,5 @@
-//! Settings of `serve`: a TOML file whose every key has a default, read with errors that name file,
-//! key, value and what is allowed.
+//! Settings of `serve`. They are read from a TOML file in which each top-level key has a default. Errors
+//! name the file, the key, the value and what is allowed.
 
 mod check;
 mod deployment;
@@ -14,27 +14,27 @@
 pub use check::InvalidServeSetting;
 pub use file::{ServeSettingsError, SettingsFileError, read, read_file};
 
-/// All settings.
+/// All settings of `serve`.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ServeSettings {
     /// Name of the node.
     pub node: String,
-    /// Zone it stands in.
+    /// Zone in which the node and its emulated engines run.
     pub zone: String,
-    /// Hosts that callers name.
+    /// Host names in requests of callers and trainers; each route is served at each of them.
     pub hosts: Vec<String>,
-    /// Seconds from the signal to stop until the process ends.
+    /// Seconds from the stop signal until the process ends.
     pub stop_grace_s: f64,
-    /// Lines of the log a second, warnings apart.
+    /// Maximum number of log lines per second; warnings are not limited.
     pub log_lines_per_s: u32,
     /// Addresses to listen on.
     pub listen: ListenSettings,
-    /// What the store in memory keeps.
+    /// Bounds of the store in memory.
     pub store: StoreSettings,
     /// Pools of engines.
     pub pools: Vec<PoolSettings>,
-    /// Routes of callers and trainers.
+    /// Routes for the requests of callers and trainers.
     pub routes: Vec<RouteSettings>,
 }
 
@@ -42,23 +42,23 @@
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ListenSettings {
-    /// Callers and trainers.
+    /// Address for callers and trainers.
     pub callers: SocketAddr,
-    /// Operators.
+    /// Address of the operators' interface.
     pub operators: SocketAddr,
-    /// Whoever asks whether the node takes requests.
+    /// Address for readiness checks, which ask whether the node can accept requests.
     pub ready: SocketAddr,
-    /// Metrics; none are served without it.
+    /// Address for metrics; `None` serves no metrics.
     pub metrics: Option<SocketAddr>,
 }
 
-/// What the store in memory keeps.
+/// Bounds of the store in memory.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct StoreSettings {
-    /// Seconds for which a batch can be read after it was handed in.
+    /// Seconds for which a batch can be read after it was submitted.
     pub retention_s: f64,
-    /// Most megabytes that records of batches may take.
+    /// Maximum size of the batches' records, in megabytes.
     pub most_mb: u32,
 }
 
@@ -66,68 +66,68 @@
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PoolSettings {
-    /// Its name.
+    /// Name of the pool, unique among pools.
     pub name: String,
-    /// The model that its engines serve.
+    /// Model that the pool's engines serve.
     pub model: String,
-    /// Most connections that one engine accepts from all callers.
+    /// Maximum number of connections that one engine accepts from all callers.
     #[serde(default = "default_connections")]
     pub connections: u32,
-    /// Emulated engines that are started for it in this process.
+    /// Number of emulated engines that are started for the pool in this process.
     #[serde(default)]
     pub emulated_engines: u32,
-    /// How they behave.
+    /// Settings of the pool's emulated engines.
     #[serde(default = "default_engine")]
     pub engine: EngineSettings,
 }
 
-/// What a route is for.
+/// Kind of the requests that a route serves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RouteKind {
     /// Calls that may run more than once.
     Call,
-    /// Calls that run at most once for each attempt of a caller.
+    /// Calls that run at most once for each attempt of a caller: they are not retried once they may have run.
     CallOnce,
-    /// Streams that may go on at another engine.
+    /// Streams that may be resumed on another engine.
     Stream,
     /// Batches of samples.
     Batch,
 }
 
-/// A route.
+/// A route from a path prefix to pools.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RouteSettings {
-    /// Its name.
+    /// Name of the route, unique among routes.
     pub name: String,
-    /// Beginning of the path; starts and ends with a slash.
+    /// Prefix of the paths that the route serves, unique among routes; starts and ends with a slash.
     pub path_prefix: String,
-    /// What it is for.
+    /// Kind of the requests that the route serves.
     pub kind: RouteKind,
-    /// Pools that serve it.
+    /// Pools that serve the route, with their weights.
     pub pools: Vec<RoutePoolSettings>,
-    /// Longest time a request is held, in milliseconds.
+    /// Maximum time that the gateway holds a request before it answers, in milliseconds.
     #[serde(default = "default_timeout_ms")]
     pub timeout_ms: u64,
-    /// Time within which an answer is on time, in milliseconds.
+    /// Latency objective: time within which an answer counts as on time, in milliseconds.
     #[serde(default = "default_objective_ms")]
     pub objective_ms: u64,
-    /// Most engines that one request may run on.
+    /// Maximum number of engines that one request may run on.
     #[serde(default = "default_attempts")]
     pub attempts: u32,
-    /// 0 is the most urgent.
+    /// Rank of the requests, where 0 is the most urgent.
     #[serde(default)]
     pub priority: u32,
 }
 
-/// A pool's share of a route.
+/// Share of a route's requests that a pool serves.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RoutePoolSettings {
-    /// The pool.
+    /// Name of the pool.
     pub pool: String,
-    /// Its share, relative to the other weights.
+    /// Weight of the pool relative to the other pools of the route.
     #[serde(default = "default_weight")]
     pub weight: u32,
 }
@@ -152,8 +152,8 @@
     1
 }
 
-/// An engine that holds the first version, and tells each token by itself, so that a run is resumed
-/// behind any of them.
+/// An engine that starts with version 1 and sends each token in its own event, so that a run can be resumed
+/// after any token.
 fn default_engine() -> EngineSettings {
     EngineSettings {
         initial_version: Some(1),
@@ -186,7 +186,7 @@
     }
 }
 
-/// One pool of two emulated engines, a route for batches and one for completions.
+/// One pool of two emulated engines, one route for batches and one for completions.
 impl Default for ServeSettings {
     fn default() -> Self {
         let pool = PoolSettings {
